--- a/bench/_stream_gateway.py
+++ b/bench/_stream_gateway.py
@@ -13,11 +13,11 @@
     GatewaySettings,
     Item,
     Page,
-    ResendLimits,
+    RetryLimits,
     SharedStore,
 )
 from cassiaford.logs import configure_logging
-from cassiaford.platform import create_world
+from cassiaford.platform import create_adapter
 from tests.platform_case import configuration, free_port, route
 
 # Room for every stream at once, so that none is refused.
@@ -86,14 +86,14 @@
         data_centre="a",
         addresses=GatewayAddresses(*(f"127.0.0.1:{port}" for port in ports)),
         store_address="",
-        resends=ResendLimits(0.2, 50, 10),
+        retry_limits=RetryLimits(0.2, 50, 10),
         rate_window_s=8.0,
         weights_within_s=6.0,
         drain_s=1.0,
         directory_ttl_s=1.0,
     )
     pool = ConnectionPool()
-    world = create_world("127.0.0.1:9", pool)
+    world = create_adapter("127.0.0.1:9", pool)
     world.store = StillStore(engine_address)
     gateway = Gateway(settings, world)
     running = asyncio.create_task(gateway.run())
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -20,13 +20,13 @@
 
 from cassiaford.fleet import shard_of
 from cassiaford.policy import (
-    GROUP_WINDOW_S,
-    OUTCOME_WINDOW_S,
+    CLAIM_BATCH_WINDOW_S,
+    OUTCOME_BATCH_WINDOW_S,
     Claim,
     ClaimRecord,
     ReadSegment,
     ReadShard,
-    ShardBook,
+    ShardClaims,
     ShardState,
     WriteSegment,
     WriteShard,
@@ -102,7 +102,7 @@
     def __init__(self, simulation, shard, name):
         self.simulation = simulation
         self.shard = shard
-        self.book = ShardBook(shard, name, 1)
+        self.book = ShardClaims(shard, name, 1)
         self.busy = False
         self.waiting = 0
         self.urgent = False
@@ -117,7 +117,7 @@
             return
         self.waiting += 1
         self.urgent = urgent
-        delay = GROUP_WINDOW_S if urgent else OUTCOME_WINDOW_S
+        delay = CLAIM_BATCH_WINDOW_S if urgent else OUTCOME_BATCH_WINDOW_S
         window = self.waiting
         self.simulation.after(delay, lambda: self.end_window(window))
 
@@ -163,8 +163,8 @@
             return self.book.on_segment_read(*result)
         swapped, state, version = result
         if swapped:
-            return self.book.on_written(version)
-        return self.book.on_read(state, version, self.simulation.now)
+            return self.book.on_shard_written(version)
+        return self.book.on_shard_read(state, version, self.simulation.now)
 
 
 class Simulation:
@@ -251,7 +251,7 @@
     def end(self, worker, claim):
         """End the work of a claim."""
         record = ended_record(claim, Verdict.RAN, 201, "", b"", self.now)
-        worker.book.end(record)
+        worker.book.record_outcome(record)
         worker.wake()
 
     def result(self):
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -77,8 +77,8 @@
         self.now = 0.0
         self.policies = [RevisionPolicy(4.0, random.Random(n)) for n in range(size)]
         for policy in self.policies:
-            policy.service_loaded_at(0.0)
-            policy.service_failed()
+            policy.record_service_load(0.0)
+            policy.record_service_failure()
         self.events = []
         self.numbers = itertools.count()
         self.notices = self.fetches = 0
@@ -121,20 +121,20 @@
 
     def take(self, number, entries):
         policy = self.policies[number]
-        if not [entry for entry in entries if policy.take_entry(entry)]:
+        if not [entry for entry in entries if policy.apply_revision(entry)]:
             return
         others = [n for n in range(len(self.policies)) if n != number]
-        for peer in policy.choose(others, NOTICE_FANOUT):
+        for peer in policy.choose_peers(others, NOTICE_FANOUT):
             self.notices += 1
             self.send(self.word, peer, number, policy.current.revision)
 
     def word(self, number, peer, revision):
-        self.policies[number].peer_word(str(peer), revision, None, self.now)
+        self.policies[number].update_from_peer(str(peer), revision, None, self.now)
         self.fetch(number)
 
     def fetch(self, number):
         policy = self.policies[number]
-        peer = policy.fetch_from(self.now)
+        peer = policy.choose_fetch_peer(self.now)
         if peer is None:
             return
         self.fetches += 1
--- a/bench/fleet_shares.py
+++ b/bench/fleet_shares.py
@@ -9,8 +9,8 @@
 import random
 from dataclasses import dataclass, field
 
-from cassiaford.fleet._rates import CHARGE_WAIT_S
-from cassiaford.policy import Bucket, Holder, Ledger, Limit, ShareBook
+from cassiaford.fleet._rates import MAX_CHARGE_WAIT_S
+from cassiaford.policy import Bucket, Holder, Ledger, Limit, RateShares
 
 CUSTOMER = "academy"
 TICK_S = 0.05
@@ -37,7 +37,7 @@
     """One instance; the book is None while it is down."""
 
     name: str
-    book: ShareBook | None = None
+    book: RateShares | None = None
     incarnation: int = 0
     paused_until: float = 0.0
     inbox: list = field(default_factory=list)
@@ -99,7 +99,7 @@
         network=None,
         lending=True,
         ttl=None,
-        charge_wait_s=CHARGE_WAIT_S,
+        charge_wait_s=MAX_CHARGE_WAIT_S,
     ):
         self.rng = random.Random(seed)
         self.limit = limit or Limit(10_000.0, 20_000.0)
@@ -138,7 +138,7 @@
     def start(self, node):
         """Start an instance in a new incarnation."""
         node.incarnation += 1
-        node.book = ShareBook(node.name, node.incarnation, self.now, self.owners)
+        node.book = RateShares(node.name, node.incarnation, self.now, self.owners)
         node.book.configure({CUSTOMER: self.limit}, self.now)
         node.heard_at = self.now
         for other in self.nodes.values():
@@ -207,14 +207,14 @@
         """Take in the ledger; an answer is lost now and then."""
         if node.book is not book or self.paused(node):
             return
-        book.confirm(read, began, self.now)
+        book.apply_service_ledger(read, began, self.now)
         wanted = book.next_ledger()
         if wanted is None or wanted.epoch != self.ledger.epoch + 1:
             return
         self.ledger_writes += 1
         self.ledger = wanted
         if self.rng.random() < 0.9:
-            book.confirm(wanted, began, self.now)
+            book.apply_service_ledger(wanted, began, self.now)
 
     def expire(self, node):
         """Stop using shares that were not renewed, where they expire."""
@@ -301,9 +301,9 @@
         """Return whether tokens may still come, having asked for them."""
         if not self.lending:
             return False
-        if not node.book.awaits_answer(CUSTOMER, self.now):
-            self.send(node, node.book.ask(CUSTOMER, tokens, self.now))
-        return node.book.awaits_answer(CUSTOMER, self.now)
+        if not node.book.awaits_reply(CUSTOMER, self.now):
+            self.send(node, node.book.request_loans(CUSTOMER, tokens, self.now))
+        return node.book.awaits_reply(CUSTOMER, self.now)
 
     def offer_load(self, load, tokens, until, weights=None):
         """Offer requests of a mean size at a multiple of the rate."""
--- a/bench/gateway_reports.py
+++ b/bench/gateway_reports.py
@@ -12,7 +12,7 @@
 
 from cassiaford.gateway._peer_codec import Report, decode_report, encode_report
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     FleetRates,
     Limit,
     PeerState,
@@ -55,14 +55,14 @@
     message = report(rng, servers, servers)
     data = encode_report(message)
     repeats = max(20, REPEATS // servers)
-    book = EngineBook()
+    book = EnginePlacer()
     rates = FleetRates()
     rates.configure({str(c): Limit(1e6, 1e6) for c in message.spending}, 0.0)
     spent = {str(c): t for c, t in message.spending.items()}
 
     def take_in():
-        book.hear("b", message.work, False, 0.0)
-        rates.hear("b", 1, spent, 0.0)
+        book.update_from_peer("b", message.work, False, 0.0)
+        rates.update_from_peer("b", 1, spent, 0.0)
 
     return (
         len(data),
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -14,7 +14,7 @@
 import typer
 
 from cassiaford.gateway._event_log import SAMPLE_EVERY, EventLog
-from cassiaford.logs import BoundedStream, Event, configure_logging
+from cassiaford.logs import Event, NonBlockingStream, configure_logging
 
 LINES = 5000
 FIELDS = {
@@ -44,7 +44,7 @@
     """Print the costs."""
     reader, writer = os.pipe()
     threading.Thread(target=drain, args=(reader,), daemon=True).start()
-    configure_logging("json", "info", BoundedStream(writer))
+    configure_logging("json", "info", NonBlockingStream(writer))
     log = EventLog("entry-1", 1)
 
     def call(method, budget):
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -18,7 +18,7 @@
 
 from cassiaford.fleet import Channel
 from cassiaford.fleet._codec import decode_membership, encode_membership
-from cassiaford.fleet._gate import FrameGate, Identity
+from cassiaford.fleet._gate import FrameAuthenticator, Identity
 from cassiaford.timeline import HybridClock
 from tests.virtual_fleet import VirtualFleet
 
@@ -81,7 +81,9 @@
     def gate(self, name):
         if name not in self.gates:
             identity = Identity(name, INCARNATION, SECRET)
-            self.gates[name] = FrameGate(identity, HybridClock(self.wall_clock))
+            self.gates[name] = FrameAuthenticator(
+                identity, HybridClock(self.wall_clock)
+            )
         return self.gates[name]
 
 
--- a/bench/model/_fleet.py
+++ b/bench/model/_fleet.py
@@ -8,7 +8,7 @@
 from bench.model._schedule import Schedule
 from bench.workloads import Arrival
 from cassiaford.engines import CacheEvents
-from cassiaford.fleet import MIN_TOLD_TOKENS
+from cassiaford.fleet import MIN_REPORTED_TOKENS
 from cassiaford.policy import (
     Placement,
     PlacementPolicy,
@@ -39,7 +39,7 @@
     events_lag_s: float = 0.8
     event_loss: float = 0.05
     network_s: float = 0.009
-    told_tokens: int = MIN_TOLD_TOKENS
+    told_tokens: int = MIN_REPORTED_TOKENS
     told_lag_s: float = 0.005
     deadline_s: float = 30.0
 
@@ -202,7 +202,7 @@
             lambda job: self._first_token(instance, record, job),
             lambda job, complete: self._end(instance, record, name, complete),
         )
-        instance.policy.started(placement, request, now)
+        instance.policy.record_start(placement, request, now)
         self._tell_peers(
             instance, name, request.prompt_tokens - placement.cached_tokens
         )
@@ -219,7 +219,7 @@
                 self.schedule.after(figures.told_lag_s, self._hear, peer, name, tokens)
 
     def _hear(self, peer, name, tokens):
-        peer.policy.peer_started(name, tokens, self.schedule.now)
+        peer.policy.record_peer_start(name, tokens, self.schedule.now)
 
     def _first_token(self, instance, record, job):
         now = self.schedule.now
@@ -232,12 +232,12 @@
         known = sum(block in self.computed_blocks for block in computed)
         record.wasted_tokens += known * BLOCK_TOKENS
         self.computed_blocks.update(computed)
-        instance.policy.first_token(request.request_id, now)
+        instance.policy.record_first_token(request.request_id, now)
 
     def _end(self, instance, record, name, complete):
         now = self.schedule.now
         instance.in_flight[name] -= 1
-        instance.policy.finished(record.request.request_id, now)
+        instance.policy.record_end(record.request.request_id, now)
         if complete:
             record.finished_at = now
         else:
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -148,9 +148,9 @@
         placement = _timed(
             self.placing, lambda: policy.place(request, self.views, now, self.rng)
         )
-        _timed(self.starting, lambda: policy.started(placement, request, now))
-        policy.first_token(request.request_id, now + FIRST_TOKEN_S)
-        policy.finished(request.request_id, now + FIRST_TOKEN_S)
+        _timed(self.starting, lambda: policy.record_start(placement, request, now))
+        policy.record_first_token(request.request_id, now + FIRST_TOKEN_S)
+        policy.record_end(request.request_id, now + FIRST_TOKEN_S)
 
     def _request(self):
         document = self.rng.randrange(self.prefixes)
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
 
-from bench.fleet_shares import CHARGE_WAIT_S, Fleet
+from bench.fleet_shares import MAX_CHARGE_WAIT_S, Fleet
 
 WEIGHTS = (50, 25, 10, 5, 5, 3, 2)
 WARM_UP_S = 15.0
@@ -32,7 +32,7 @@
     owners: int = 3
     lending: bool = True
     ttl: float | None = None
-    charge_wait_s: float = CHARGE_WAIT_S
+    charge_wait_s: float = MAX_CHARGE_WAIT_S
     tokens: float = 400.0
 
 
--- a/bench/rates_slopes.py
+++ b/bench/rates_slopes.py
@@ -12,14 +12,14 @@
 
 from cassiaford.fleet._rates_codec import encode_ledger, encode_message
 from cassiaford.policy import (
-    Ask,
-    Grant,
     Holder,
     Ledger,
+    LedgerPoll,
+    LedgerReport,
     Limit,
-    Poll,
-    Report,
-    ShareBook,
+    LoanGrant,
+    LoanRequest,
+    RateShares,
 )
 
 SIZES = ((7, 5), (70, 760), (370, 4000))
@@ -44,11 +44,11 @@
     report_bytes: int
 
 
-def prepare(limits, holders) -> ShareBook:
+def prepare(limits, holders) -> RateShares:
     """Return a book that acts by the limits and a ledger of the holders."""
-    book = ShareBook("entry-0", 1, 0.0)
+    book = RateShares("entry-0", 1, 0.0)
     book.configure(limits, 0.0)
-    book.adopt(Ledger(1, holders), 0.0)
+    book.apply_ledger(Ledger(1, holders), 0.0)
     return book
 
 
@@ -63,13 +63,13 @@
     del kept
     book = prepare(limits, holders[:-1])
     started = time.perf_counter()
-    book.adopt(Ledger(2, holders), 0.0)
+    book.apply_ledger(Ledger(2, holders), 0.0)
     adopt_s = time.perf_counter() - started
     for name in limits:
         if book.table.fraction(name, "entry-0"):
             book.charge(name, 1.0, 0.1)
     owned = len(book.shares)
-    book.wants_growth = False
+    book.awaits_growth = False
     started = time.perf_counter()
     book.tick(0.15)
     tick_s = time.perf_counter() - started
@@ -82,10 +82,10 @@
         adopt_ms=round(adopt_s * 1000, 2),
         tick_ms=round(tick_s * 1000, 2),
         ledger_bytes=len(encode_ledger(Ledger(2, holders))),
-        ask_bytes=len(encode_message(Ask("customer-1", 1000, 500.0))),
-        grant_bytes=len(encode_message(Grant("customer-1", 1000, 500.0, 10.0))),
-        poll_bytes=len(encode_message(Poll(10, 2))),
-        report_bytes=len(encode_message(Report(10, 2, True))),
+        ask_bytes=len(encode_message(LoanRequest("customer-1", 1000, 500.0))),
+        grant_bytes=len(encode_message(LoanGrant("customer-1", 1000, 500.0, 10.0))),
+        poll_bytes=len(encode_message(LedgerPoll(10, 2))),
+        report_bytes=len(encode_message(LedgerReport(10, 2, True))),
     )
 
 
--- a/src/cassiaford/_event_splitter.py
+++ b/src/cassiaford/_event_splitter.py
@@ -12,7 +12,7 @@
 _END_OF_EVENT = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 
 
-class StreamError(ValueError):
+class EventStreamError(ValueError):
     """A stream that holds no valid events."""
 
 
@@ -44,7 +44,7 @@
             start = match.end()
         self.partial = data[start:] if start else data
         if len(self.partial) > MAX_EVENT_BYTES:
-            raise StreamError("an event is too long")
+            raise EventStreamError("an event is too long")
         return events
 
 
--- a/src/cassiaford/_json_calls.py
+++ b/src/cassiaford/_json_calls.py
@@ -27,7 +27,7 @@
     sent = False
 
 
-class AnswerLostError(CallError):
+class ResponseLostError(CallError):
     """The call was sent, wholly or in part, and no whole answer arrived."""
 
 
@@ -43,10 +43,10 @@
         try:
             return json.loads(self.body)
         except ValueError as error:
-            raise AnswerLostError(f"the answer is not JSON: {error}") from None
+            raise ResponseLostError(f"the answer is not JSON: {error}") from None
 
 
-class JsonCaller:
+class JsonClient:
     """Sends JSON calls over kept connections; safe for use by many threads.
 
     Nothing is repeated here: whether a call may be sent again is for its
@@ -83,7 +83,7 @@
         except (NewConnectionError, ConnectTimeoutError) as error:
             raise NotSentError(f"{address}: {error}") from error
         except HTTPError as error:
-            raise AnswerLostError(f"{address}: {error}") from error
+            raise ResponseLostError(f"{address}: {error}") from error
         return Answer(response.status, response.data)
 
     def close(self) -> None:
--- a/src/cassiaford/cli/_serve.py
+++ b/src/cassiaford/cli/_serve.py
@@ -49,7 +49,7 @@
 
     def handle_signal(number, frame):
         if asked_to_stop.is_set():
-            threading.Thread(target=instance.cut_short, daemon=True).start()
+            threading.Thread(target=instance.abort_drain, daemon=True).start()
         asked_to_stop.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/cassiaford/engines/__init__.py
+++ b/src/cassiaford/engines/__init__.py
@@ -18,7 +18,7 @@
     LoadReport,
     Order,
     OrderAction,
-    OrderAnswer,
+    OrderResponse,
 )
 
 __all__ = [
@@ -35,7 +35,7 @@
     "LoadReport",
     "Order",
     "OrderAction",
-    "OrderAnswer",
+    "OrderResponse",
     "block_chain",
     "cache_scope",
     "create_engine_control",
--- a/src/cassiaford/engines/_http.py
+++ b/src/cassiaford/engines/_http.py
@@ -5,7 +5,7 @@
 
 from urllib.parse import quote
 
-from cassiaford._json_calls import AnswerLostError, CallError, JsonCaller
+from cassiaford._json_calls import CallError, JsonClient, ResponseLostError
 from cassiaford.engines._protocol import (
     CacheEvent,
     CacheEventKind,
@@ -14,7 +14,7 @@
     EngineError,
     LoadReport,
     Order,
-    OrderAnswer,
+    OrderResponse,
 )
 
 # What an engine answers to the cancelling of a request that it has not.
@@ -23,13 +23,13 @@
 
 def create_engine_control(timeout_s: float) -> EngineControl:
     """Return the control calls; each waits at most `timeout_s` for its answer."""
-    return HttpEngineControl(JsonCaller(timeout_s))
+    return HttpEngineControl(JsonClient(timeout_s))
 
 
 class HttpEngineControl(EngineControl):
     """The control calls behind their HTTP interface."""
 
-    def __init__(self, caller: JsonCaller):
+    def __init__(self, caller: JsonClient):
         self.caller = caller
 
     def load(self, address: str) -> LoadReport:
@@ -41,7 +41,7 @@
         target = f"/v1/cache/events?after={after}"
         return self._call("GET", address, target, None, _cache_events)
 
-    def order(self, address: str, order: Order) -> OrderAnswer:
+    def order(self, address: str, order: Order) -> OrderResponse:
         """Give the engine an order and return its answer."""
         body = {
             "order_id": order.order_id,
@@ -66,7 +66,7 @@
         try:
             answer = self.caller.call(method, address, target, body)
             if not 200 <= answer.status < 300 and answer.status not in also_valid:
-                raise AnswerLostError(f"{address} answered {answer.status}")
+                raise ResponseLostError(f"{address} answered {answer.status}")
             return decode(answer)
         except CallError as error:
             raise EngineError(f"{method} {target}: {error}") from error
@@ -103,7 +103,7 @@
 
 def _order_answer(answer):
     document = answer.json()
-    return OrderAnswer(bool(document["accepted"]), str(document["reason"]))
+    return OrderResponse(bool(document["accepted"]), str(document["reason"]))
 
 
 def _nothing(answer):
--- a/src/cassiaford/engines/_poller.py
+++ b/src/cassiaford/engines/_poller.py
@@ -103,7 +103,7 @@
         for threads in (self.reachable, self.unreachable):
             threads.shutdown(wait=False, cancel_futures=True)
 
-    def interval_now_s(self) -> float:
+    def poll_interval_s(self) -> float:
         """Return the time between two polls of an engine that answers."""
         return max(self.interval_s, len(self.polls) / MAX_POLLS_PER_S)
 
@@ -113,8 +113,8 @@
                 self._follow_configuration()
                 self._submit_due()
             except Exception as error:
-                self.journal.record(Event.THREAD_FAILED, error=repr(error))
-            tick_s = self.interval_now_s() / TICKS_PER_INTERVAL
+                self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
+            tick_s = self.poll_interval_s() / TICKS_PER_INTERVAL
             self.stopping.wait(min(MAX_TICK_S, tick_s))
 
     def _follow_configuration(self):
@@ -174,7 +174,7 @@
                 self._poll()
         except Exception as error:
             # A fault in an observer must not end the polling.
-            self._record(Event.THREAD_FAILED, error=repr(error))
+            self._record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
         jitter = random.uniform(1.0 - JITTER, 1.0 + JITTER)
         self.due_at = time.monotonic() + self.delay_s * jitter
         self.in_flight = False
@@ -227,7 +227,7 @@
         if not self.reachable:
             self._record(Event.ENGINE_REACHABLE)
         self.reachable = True
-        self.delay_s = self.poller.interval_now_s()
+        self.delay_s = self.poller.poll_interval_s()
 
     def _record(self, event, **details):
         self.poller.journal.record(event, Subject(server=self.server), **details)
--- a/src/cassiaford/engines/_protocol.py
+++ b/src/cassiaford/engines/_protocol.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class OrderAnswer:
+class OrderResponse:
     """The answer to an order; `reason` says why it was refused."""
 
     accepted: bool
@@ -90,7 +90,7 @@
         """Return the cache events after a sequence number."""
 
     @abstractmethod
-    def order(self, address: str, order: Order) -> OrderAnswer:
+    def order(self, address: str, order: Order) -> OrderResponse:
         """Give the engine an order and return its answer."""
 
     @abstractmethod
--- a/src/cassiaford/fleet/__init__.py
+++ b/src/cassiaford/fleet/__init__.py
@@ -3,7 +3,7 @@
 from cassiaford.fleet._claims import (
     ClaimRegistry,
     ClaimService,
-    create_claims,
+    create_claim_registry,
     shard_of,
 )
 from cassiaford.fleet._configuration import (
@@ -33,12 +33,12 @@
     EntryError,
 )
 from cassiaford.fleet._sent_prompts import (
-    MIN_TOLD_TOKENS,
-    SentPrompts,
+    MIN_REPORTED_TOKENS,
+    SentPromptExchange,
 )
 from cassiaford.fleet._suspects import (
     SuspectRegistry,
-    create_suspects,
+    create_suspect_registry,
 )
 from cassiaford.fleet._transport import (
     Channel,
@@ -60,20 +60,20 @@
     "Fleet",
     "Limiter",
     "LostRaceError",
-    "MIN_TOLD_TOKENS",
+    "MIN_REPORTED_TOKENS",
     "Member",
     "OrderRunner",
     "PeerMessage",
     "PeerTransport",
     "RateLimiter",
     "RequestTransport",
-    "SentPrompts",
+    "SentPromptExchange",
     "SuspectRegistry",
     "UnknownOutcomeError",
-    "create_claims",
+    "create_claim_registry",
     "create_fleet",
     "create_order_runner",
     "create_rate_limiter",
-    "create_suspects",
+    "create_suspect_registry",
     "shard_of",
 ]
--- a/src/cassiaford/fleet/_claim_forwarding.py
+++ b/src/cassiaford/fleet/_claim_forwarding.py
@@ -23,7 +23,7 @@
 )
 from cassiaford.fleet._transport import Channel, PeerMessage, PeerTransport
 from cassiaford.policy import (
-    START_WITHIN_S,
+    MAX_START_DELAY_S,
     Claim,
     ClaimAnswer,
     ClaimRecord,
@@ -113,7 +113,7 @@
 
     def claim(self, home: str, shard: str, record: ClaimRecord) -> ClaimAnswer | None:
         """Forward a claim; return None if no answer came in time."""
-        start_by = self.clock() + START_WITHIN_S
+        start_by = self.clock() + MAX_START_DELAY_S
         waiter = _Waiter()
         with self._lock:
             self._waiters[record.nonce] = waiter
--- a/src/cassiaford/fleet/_claim_shards.py
+++ b/src/cassiaford/fleet/_claim_shards.py
@@ -15,17 +15,17 @@
 from cassiaford.keyvalue import KeyValueError, KeyValueService, OutcomeUnknownError
 from cassiaford.logs import Event
 from cassiaford.policy import (
-    GROUP_WINDOW_S,
-    OUTCOME_WINDOW_S,
+    CLAIM_BATCH_WINDOW_S,
+    OUTCOME_BATCH_WINDOW_S,
     ClaimAnswer,
     ClaimRecord,
     ReadSegment,
     ReadShard,
-    ShardBook,
+    ShardClaims,
     WriteSegment,
     WriteShard,
     conflict_delay,
-    unavailable,
+    unavailable_refusal,
 )
 from cassiaford.timeline import Journal
 
@@ -65,12 +65,12 @@
         self.done.set()
 
 
-class ShardWriter:
+class ShardWorker:
     """The thread that reads and writes one shard, and those that wait for it."""
 
     def __init__(
         self,
-        book: ShardBook,
+        book: ShardClaims,
         key_value: KeyValueService,
         journal: Journal,
         outage: Outage,
@@ -103,7 +103,7 @@
             self.waiters.pop(record.nonce, None)
             if waiter.answer is None:
                 self.book.abandon(record.nonce)
-                waiter.answer = unavailable(OUTAGE_RETRY_S)
+                waiter.answer = unavailable_refusal(OUTAGE_RETRY_S)
         return waiter.answer
 
     def submit(
@@ -131,7 +131,7 @@
     def end(self, record: ClaimRecord) -> bool:
         """Queue an outcome; return whether it will be written."""
         with self.condition:
-            queued = self.book.end(record)
+            queued = self.book.record_outcome(record)
             self.condition.notify_all()
         return queued and self.thread.is_alive()
 
@@ -144,7 +144,7 @@
     def disown(self, nonce: str) -> None:
         """Release an own claim that another instance was granted too late."""
         with self.condition:
-            self.book.disown(nonce)
+            self.book.reject_ownership(nonce)
             self.condition.notify_all()
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
@@ -173,7 +173,7 @@
                 self._on_outage()
             except Exception as error:
                 # A value that cannot be read must not end the thread.
-                self.journal.record(Event.THREAD_FAILED, error=repr(error))
+                self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
                 self._refuse_all()
 
     def _take_step(self):
@@ -193,8 +193,8 @@
                     return False
                 self.condition.wait()
             if not self.book.pending and not self.stopping:
-                self.condition.wait_for(self._is_urgent, OUTCOME_WINDOW_S)
-        time.sleep(GROUP_WINDOW_S)
+                self.condition.wait_for(self._is_urgent, OUTCOME_BATCH_WINDOW_S)
+        time.sleep(CLAIM_BATCH_WINDOW_S)
         return True
 
     def _is_urgent(self):
@@ -221,14 +221,14 @@
             self._on_entry(result.entry)
             return True
         with self.condition:
-            self._answer(self.book.on_written(result.entry.version))
+            self._answer(self.book.on_shard_written(result.entry.version))
         return False
 
     def _on_entry(self, entry):
         state = decode_shard(entry.value)
         with self.condition:
             wall = self.wall_clock()
-            self._answer(self.book.on_read(state, entry.version, wall))
+            self._answer(self.book.on_shard_read(state, entry.version, wall))
 
     def _read_segment(self, name):
         entry = self.key_value.get(f"{SEGMENT_PREFIX}{name}")
@@ -250,7 +250,7 @@
         """Try the write again; the second time, take the service to be down."""
         self.unknown_in_a_row += 1
         with self.condition:
-            self.book.on_unknown()
+            self.book.on_unknown_outcome()
         if self.unknown_in_a_row > 1:
             self._on_outage()
 
--- a/src/cassiaford/fleet/_claims.py
+++ b/src/cassiaford/fleet/_claims.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from cassiaford.fleet._claim_forwarding import ClaimForwarder, ClaimHost
-from cassiaford.fleet._claim_shards import OUTAGE_RETRY_S, Outage, ShardWriter
+from cassiaford.fleet._claim_shards import OUTAGE_RETRY_S, Outage, ShardWorker
 from cassiaford.fleet._transport import PeerTransport
 from cassiaford.keyvalue import KeyValueService
 from cassiaford.logs import Event
@@ -17,9 +17,9 @@
     Claim,
     ClaimRecord,
     RecordedOutcome,
-    ShardBook,
+    ShardClaims,
     ended_record,
-    unavailable,
+    unavailable_refusal,
 )
 from cassiaford.timeline import Journal, Subject
 from cassiaford.verdict import Refusal, RefusalReason
@@ -96,7 +96,7 @@
             written_at=self.wall_clock(),
         )
         if self._stopped:
-            return unavailable(OUTAGE_RETRY_S)
+            return unavailable_refusal(OUTAGE_RETRY_S)
         name = shard_of(customer)
         home = self._home(name)
         answer = self.forwarder.claim(home, name, record) if home else None
@@ -161,8 +161,8 @@
         with self._lock:
             shard = self._shards.get(name)
             if shard is None:
-                book = ShardBook(name, self.instance, self.incarnation)
-                shard = ShardWriter(
+                book = ShardClaims(name, self.instance, self.incarnation)
+                shard = ShardWorker(
                     book,
                     self.key_value,
                     self.journal,
@@ -197,7 +197,7 @@
         self.registry.mark_gone(instance, incarnation)
 
 
-def create_claims(
+def create_claim_registry(
     key_value: KeyValueService,
     journal: Journal,
     instance: str,
--- a/src/cassiaford/fleet/_claims_codec.py
+++ b/src/cassiaford/fleet/_claims_codec.py
@@ -8,7 +8,7 @@
 import json
 from collections.abc import Mapping
 
-from cassiaford.policy import ClaimRecord, ClaimState, Sealed, ShardState
+from cassiaford.policy import ClaimRecord, ClaimState, SealedSegment, ShardState
 from cassiaford.verdict import Verdict
 
 
@@ -24,7 +24,7 @@
     if not value:
         return ShardState()
     head, _, rest = value.partition(b"\n")
-    sealed = tuple(Sealed(*fields[:2]) for fields in json.loads(head))
+    sealed = tuple(SealedSegment(*fields[:2]) for fields in json.loads(head))
     return ShardState(decode_segment(rest), sealed)
 
 
--- a/src/cassiaford/fleet/_configuration.py
+++ b/src/cassiaford/fleet/_configuration.py
@@ -98,36 +98,36 @@
         """
         self.callbacks.append(callback)
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether a withdrawal would have been noticed by now.
 
         While it is False, requests with a key are refused.
         """
         with self._lock:
-            return self.policy.fresh(now)
+            return self.policy.is_fresh(now)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether serving may start at the configuration in force."""
         peer_count = len(self.peers.members()) - 1
         with self._lock:
-            return self.policy.ready(peer_count)
+            return self.policy.is_ready(peer_count)
 
     def peer_heard(self, instance: str, revision: int, as_of: float | None) -> None:
         """Take note of the revision that a peer told."""
         with self._lock:
-            self.policy.peer_word(instance, revision, as_of, self.clock())
-            lacking = self.policy.lacking_since is not None
+            self.policy.update_from_peer(instance, revision, as_of, self.clock())
+            lacking = self.policy.behind_since is not None
         if lacking:
             self._fetch_wanted.set()
 
     def peer_gone(self, instance: str) -> None:
         """Drop what a peer told that is gone."""
         with self._lock:
-            self.policy.forget_peer(instance)
+            self.policy.remove_peer(instance)
 
     def note_freshness(self, now: float) -> None:
         """Record when the configuration becomes stale or fresh again."""
-        fresh = self.fresh(now)
+        fresh = self.is_fresh(now)
         if self._was_fresh is None and not fresh:
             # Not started yet.
             return
@@ -146,7 +146,7 @@
                 answered = self._note_answer(answered, True, "")
             except KeyValueError as error:
                 with self._lock:
-                    self.policy.service_failed()
+                    self.policy.record_service_failure()
                 answered = self._note_answer(answered, False, error)
                 self._stopping.wait(RETRY_S)
             except EntryError as error:
@@ -167,7 +167,7 @@
             revision = self.log.watch(number, timeout_s)
         except EntryError:
             with self._lock:
-                self.policy.service_ahead(started)
+                self.policy.record_newer_revision(started)
             self._load()
             return
         if revision is None:
@@ -182,12 +182,12 @@
         started = self.clock()
         self._take_snapshot(self.log.load(), "service")
         with self._lock:
-            self.policy.service_loaded_at(started)
+            self.policy.record_service_load(started)
 
     def _service_word(self, number, as_of):
         with self._lock:
             if number == self.policy.current.revision + 1:
-                self.policy.service_word(as_of)
+                self.policy.record_service_contact(as_of)
 
     def _watch_timeout_s(self):
         # Renewals tell that the service still answers. Their number over the
@@ -200,12 +200,12 @@
         if before and not now:
             self.journal.record(Event.KEY_VALUE_LOST, error=error)
         if now and not before:
-            self.journal.record(Event.KEY_VALUE_BACK)
+            self.journal.record(Event.KEY_VALUE_RECOVERED)
         return now
 
     def _reject(self, error):
         with self._lock:
-            self.policy.service_ahead(self.clock())
+            self.policy.record_newer_revision(self.clock())
         if str(error) != self._last_rejection:
             self._last_rejection = str(error)
             self.journal.record(Event.REVISION_REJECTED, error=error)
@@ -235,12 +235,12 @@
 
     def _lacking(self):
         with self._lock:
-            return self.policy.highest_told() > self.policy.current.revision
+            return self.policy.highest_peer_revision() > self.policy.current.revision
 
     def _fetch_once(self):
         started = self.clock()
         with self._lock:
-            peer = self.policy.fetch_from(started)
+            peer = self.policy.choose_fetch_peer(started)
             number = self.policy.current.revision
         if peer is None:
             return
@@ -259,7 +259,7 @@
         for entry in content.entries:
             self._take_entry(decode_revision(entry), peer)
         with self._lock:
-            self.policy.peer_loaded_at(started)
+            self.policy.record_peer_load(started)
 
     def _entries_after(self, number):
         with self._lock:
@@ -270,13 +270,13 @@
     def _take_entry(self, revision, source):
         with self._change_lock:
             with self._lock:
-                change = self.policy.take_entry(revision)
+                change = self.policy.apply_revision(revision)
             self._put_in_force(change, source)
 
     def _take_snapshot(self, configuration, source):
         with self._change_lock:
             with self._lock:
-                change = self.policy.take_snapshot(configuration)
+                change = self.policy.apply_snapshot(configuration)
             self._put_in_force(change, source)
 
     def _put_in_force(self, change: RevisionChange | None, source: str):
@@ -297,7 +297,9 @@
             self._record_failure("configuration callback", error)
 
     def _record_failure(self, thread, error):
-        self.journal.record(Event.THREAD_FAILED, thread=thread, error=repr(error))
+        self.journal.record(
+            Event.BACKGROUND_TASK_FAILED, thread=thread, error=repr(error)
+        )
 
     def _record(self, change, source):
         if change.rejected:
@@ -315,7 +317,7 @@
     def _tell_peers(self, revision):
         names = [member.instance for member in self.peers.members()]
         others = [name for name in names if name != self.journal.instance]
-        chosen = self.policy.choose(others, NOTICE_FANOUT)
+        chosen = self.policy.choose_peers(others, NOTICE_FANOUT)
         self.exchange.tell(chosen, revision)
 
 
--- a/src/cassiaford/fleet/_departures.py
+++ b/src/cassiaford/fleet/_departures.py
@@ -29,16 +29,16 @@
     def peer_gone(self, instance):
         """Take note that a peer is silent or has left."""
         with self._lock:
-            self.departures.silent(instance)
+            self.departures.record_silence(instance)
 
     def member_changed(self, update: MemberUpdate) -> None:
         """Take note of what is newly believed of a member."""
         member = update.member
         with self._lock:
             if update.state is MemberState.LEFT:
-                gone = self.departures.left(member.instance, member.incarnation)
+                gone = self.departures.record_leave(member.instance, member.incarnation)
             elif update.state is MemberState.ALIVE:
-                gone = self.departures.seen(member.instance, member.incarnation)
+                gone = self.departures.record_live(member.instance, member.incarnation)
             else:
                 gone = ()
         self._report(gone)
@@ -47,7 +47,7 @@
         """Take in an answer of the platform's list."""
         instances = {record.instance for record in records}
         with self._lock:
-            gone = self.departures.listed(instances, self.clock())
+            gone = self.departures.record_listing(instances, self.clock())
         self._report(gone)
 
     def _report(self, gone: Sequence[Departure]):
--- a/src/cassiaford/fleet/_fleet.py
+++ b/src/cassiaford/fleet/_fleet.py
@@ -9,7 +9,7 @@
     create_configuration_store,
 )
 from cassiaford.fleet._departures import DepartureWatcher, OnDeparture
-from cassiaford.fleet._gate import FrameGate, Identity
+from cassiaford.fleet._gate import FrameAuthenticator, Identity
 from cassiaford.fleet._log import ConfigurationLog
 from cassiaford.fleet._membership import (
     FleetTransport,
@@ -77,7 +77,7 @@
         """Return the live members, this instance first."""
         return self.runner.members()
 
-    def entries(self, customer: str, data_centre: str) -> tuple[Member, ...]:
+    def entry_instances(self, customer: str, data_centre: str) -> tuple[Member, ...]:
         """Return the members that a customer's callers should use, best first.
 
         Callers may keep the answer for `ENTRIES_MAX_AGE_S`.
@@ -124,7 +124,7 @@
     """
     secret = settings.peers.secret.get_secret_value().encode()
     identity = Identity(settings.instance, incarnation, secret)
-    gate = FrameGate(identity, journal.clock)
+    gate = FrameAuthenticator(identity, journal.clock)
     sockets = open_peer_sockets(settings.peers.address, gate, journal)
     membership = Membership(
         _own_member(settings, incarnation, sockets.address),
--- a/src/cassiaford/fleet/_gate.py
+++ b/src/cassiaford/fleet/_gate.py
@@ -49,7 +49,7 @@
     secret: bytes
 
 
-class FrameGate:
+class FrameAuthenticator:
     """Seals the messages of one instance and checks those that arrive."""
 
     def __init__(self, identity: Identity, clock: HybridClock):
--- a/src/cassiaford/fleet/_membership.py
+++ b/src/cassiaford/fleet/_membership.py
@@ -15,7 +15,7 @@
     Membership,
     MemberState,
     MemberUpdate,
-    PeerHeard,
+    PeerContact,
     SendMessage,
     Superseded,
 )
@@ -85,7 +85,7 @@
         """Take note of the platform's list."""
         addresses = tuple(record.peer_address for record in records)
         with self._lock:
-            self.membership.learn_addresses(addresses)
+            self.membership.add_addresses(addresses)
 
     def set_revision(self, revision: int) -> None:
         """Tell peers from now on that a revision is in force here."""
@@ -127,7 +127,7 @@
         match action:
             case SendMessage():
                 self._send(action)
-            case PeerHeard():
+            case PeerContact():
                 for listener in self.listeners:
                     listener.peer_heard(action.instance, action.revision, action.as_of)
             case MemberChanged(update=update):
--- a/src/cassiaford/fleet/_orders.py
+++ b/src/cassiaford/fleet/_orders.py
@@ -28,12 +28,12 @@
 from cassiaford.logs import Event
 from cassiaford.pipeline import ServedVersions
 from cassiaford.policy import (
-    GiveOrder,
+    DesiredVersion,
     Load,
     LoadTable,
     Orderer,
     OrderLimits,
-    Want,
+    SendOrder,
     WriteTable,
 )
 from cassiaford.settings import OrderSettings
@@ -80,7 +80,7 @@
         self.table_version = 0
         self.read_due_at = 0.0
         self.suspended = False
-        self.kept: set[Want] = set()
+        self.kept: set[DesiredVersion] = set()
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="orders", daemon=True)
@@ -124,7 +124,7 @@
     def observe_load(self, server: str, report: LoadReport) -> None:
         """Learn what an engine has loaded and pass the report on."""
         with self._lock:
-            self.orderer.observe(server, dict(report.models), self.clock())
+            self.orderer.record_report(server, dict(report.models), self.clock())
         if self.observer is not None:
             self.observer.observe_load(server, report)
 
@@ -135,7 +135,7 @@
     def forget(self, server: str) -> None:
         """Drop what is believed of an engine, and pass that on."""
         with self._lock:
-            self.orderer.forget(server)
+            self.orderer.remove_server(server)
         self.observer.forget(server)
 
     def tick(self) -> None:
@@ -166,7 +166,7 @@
             try:
                 self.tick()
             except Exception as error:
-                self.journal.record(Event.THREAD_FAILED, error=repr(error))
+                self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
 
     def _follow_configuration(self):
         configuration = self.fleet.configuration.current
@@ -189,7 +189,7 @@
         table = _decode(entry.value)
         with self._lock:
             self.table_version = entry.version
-            self.orderer.table_read(table, began)
+            self.orderer.apply_table(table, began)
 
     def _read_back(self):
         """Ask the engines that this instance has ordered to load."""
@@ -205,7 +205,7 @@
         except EngineError:
             return
         with self._lock:
-            self.orderer.observe(server, dict(report.models), self.clock())
+            self.orderer.record_report(server, dict(report.models), self.clock())
 
     def _act(self):
         live = [m.instance for m in self.fleet.members() if not m.leaving]
@@ -214,7 +214,7 @@
             with self._lock:
                 actions = self.orderer.step(live, self.clock())
             for action in actions:
-                if isinstance(action, GiveOrder):
+                if isinstance(action, SendOrder):
                     self._give(action.load)
             writes = [a.table for a in actions if isinstance(a, WriteTable)]
             if not writes or not self._swap(writes[0]):
@@ -245,7 +245,7 @@
             now = self.clock()
             if not self.orderer.may_send(load, now):
                 return
-            self.orderer.order_sent(load, now)
+            self.orderer.record_order_sent(load, now)
         try:
             answer = self.control.order(server.address, order)
         except EngineError as error:
@@ -254,7 +254,7 @@
         if not answer.accepted:
             self._record(Event.ORDER_NOT_ACCEPTED, load, cause=answer.reason)
         with self._lock:
-            self.orderer.order_answered(load, answer.accepted)
+            self.orderer.record_order_reply(load, answer.accepted)
 
     def _record_changes(self, before, after):
         known = {load.order_id for load in before.loads}
@@ -265,16 +265,18 @@
         for load in before.loads:
             if load.order_id not in left:
                 done = self.orderer.is_done(load)
-                self._record(Event.LOAD_FINISHED if done else Event.LOAD_LOST, load)
+                self._record(
+                    Event.LOAD_FINISHED if done else Event.LOAD_ABANDONED, load
+                )
 
     def _record_kept(self, live):
         with self._lock:
-            kept = set(self.orderer.kept(live, self.clock()))
+            kept = set(self.orderer.withheld(live, self.clock()))
         for want in kept - self.kept:
             self._record(Event.LAST_SERVER_KEPT, want)
         self.kept = kept
 
-    def _record(self, event, load: Load | Want, **details):
+    def _record(self, event, load: Load | DesiredVersion, **details):
         self.journal.record(
             event,
             Subject(server=load.server),
@@ -307,7 +309,7 @@
 
 def _wants(configuration):
     return [
-        Want(server.name, model.name, model.version, server.checks_fencing)
+        DesiredVersion(server.name, model.name, model.version, server.checks_fencing)
         for model in configuration.models.values()
         for server in configuration.engines_for(model.name)
     ]
--- a/src/cassiaford/fleet/_peers.py
+++ b/src/cassiaford/fleet/_peers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cassiaford.fleet._gate import DroppedError, FrameGate
+from cassiaford.fleet._gate import DroppedError, FrameAuthenticator
 from cassiaford.fleet._stream import ReplyServer, call
 from cassiaford.fleet._transport import Channel, PeerMessage
 from cassiaford.logs import Event
@@ -55,11 +55,11 @@
         self,
         datagrams: socket.socket,
         listener: socket.socket,
-        gate: FrameGate,
+        authenticator: FrameAuthenticator,
         journal: Journal,
     ):
         self.datagrams = datagrams
-        self.gate = gate
+        self.gate = authenticator
         self.journal = journal
         self.traffic = Traffic()
         self.handlers: dict[Channel, Handler] = {}
@@ -135,7 +135,9 @@
             try:
                 self._turn()
             except Exception as error:
-                self.journal.record(Event.THREAD_FAILED, thread="peers", error=error)
+                self.journal.record(
+                    Event.BACKGROUND_TASK_FAILED, thread="peers", error=error
+                )
 
     def _turn(self):
         timeout_s = self._until_next_timer()
@@ -199,7 +201,9 @@
             )
 
 
-def open_peer_sockets(address: str, gate: FrameGate, journal: Journal) -> PeerSockets:
+def open_peer_sockets(
+    address: str, gate: FrameAuthenticator, journal: Journal
+) -> PeerSockets:
     """Return peer sockets bound to an address; port 0 chooses a free one."""
     listener = socket.create_server(_endpoint(address), backlog=64)
     listener.setblocking(False)
--- a/src/cassiaford/fleet/_rates.py
+++ b/src/cassiaford/fleet/_rates.py
@@ -16,14 +16,14 @@
 from cassiaford.keyvalue import KeyValueError, KeyValueService
 from cassiaford.logs import Event
 from cassiaford.pipeline._admit import Limiter
-from cassiaford.policy import Holder, Limit, ShareBook
+from cassiaford.policy import Holder, Limit, RateShares
 from cassiaford.timeline import Journal
 from cassiaford.verdict import Refusal, RefusalReason, refuse
 
 LEDGER_KEY = "rates/ledger"
 TICK_S = 0.05
 # The longest time that a charge waits for tokens from other instances.
-CHARGE_WAIT_S = 0.3
+MAX_CHARGE_WAIT_S = 0.3
 WATCH_TIMEOUT_S = 30.0
 RETRY_S = 0.5
 
@@ -48,7 +48,7 @@
         self.transport = transport
         self.journal = journal
         self.clock = clock
-        self.book = ShareBook(instance, incarnation, clock())
+        self.book = RateShares(instance, incarnation, clock())
         self.undecoded = 0
         self._condition = threading.Condition()
         self._stopped = threading.Event()
@@ -74,7 +74,7 @@
                 f"the request counts {tokens} tokens, more than the whole burst"
                 f" of {customer.burst:g}",
             )
-        deadline = self.clock() + CHARGE_WAIT_S
+        deadline = self.clock() + MAX_CHARGE_WAIT_S
         with self._condition:
             while not self.book.charge(customer.name, tokens, self.clock()):
                 left = deadline - self.clock()
@@ -108,10 +108,10 @@
             self.book.mark_gone(instance, incarnation)
         self._kick.set()
 
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether shares can be borrowed from all that hold some."""
         with self._condition:
-            return self.book.in_touch()
+            return self.book.is_connected()
 
     def start(self) -> None:
         """Read the ledger if the service answers, and begin to take part."""
@@ -137,13 +137,13 @@
     def _may_get(self, customer, tokens):
         """Return whether tokens may still come, having asked for them."""
         now = self.clock()
-        if not self.book.awaits_answer(customer, now):
-            self._send(self.book.ask(customer, tokens, now))
-        return self.book.awaits_answer(customer, now)
+        if not self.book.awaits_reply(customer, now):
+            self._send(self.book.request_loans(customer, tokens, now))
+        return self.book.awaits_reply(customer, now)
 
     def _refuse(self, customer, tokens):
         wait_s = self.book.retry_after(customer, tokens, self.clock())
-        if self.book.in_touch():
+        if self.book.is_connected():
             text = (
                 f"the customer's rate is used up; {tokens} tokens will be there"
                 f" in {wait_s:.2f} s"
@@ -186,7 +186,7 @@
             try:
                 self._tick()
             except Exception as error:
-                self.journal.record(Event.THREAD_FAILED, error=repr(error))
+                self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
 
     def _tick(self):
         members = self.transport.members()
@@ -210,7 +210,7 @@
             try:
                 synced = self._sync_ledger()
             except Exception as error:
-                self.journal.record(Event.THREAD_FAILED, error=repr(error))
+                self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
                 synced = False
             self._kick.wait(None if synced else RETRY_S)
 
@@ -248,7 +248,7 @@
         """Take in the ledger and return the one that should follow, if any."""
         ledger = decode_ledger(entry.value)
         with self._condition:
-            self.book.confirm(ledger, read_at, self.clock())
+            self.book.apply_service_ledger(ledger, read_at, self.clock())
             wanted = self.book.next_ledger()
         # A peer may have told of a later ledger than this reading showed.
         if wanted is not None and wanted.epoch != ledger.epoch + 1:
--- a/src/cassiaford/fleet/_rates_codec.py
+++ b/src/cassiaford/fleet/_rates_codec.py
@@ -6,13 +6,13 @@
 
 from cassiaford._schemas import load_schema
 from cassiaford.policy import (
-    Ask,
-    Grant,
     Holder,
     Ledger,
-    Poll,
-    Report,
-    Returned,
+    LedgerPoll,
+    LedgerReport,
+    LoanGrant,
+    LoanRequest,
+    ReturnedLoan,
     ShareMessage,
 )
 
@@ -27,23 +27,23 @@
     """Return the body of a message to a peer."""
     builder = _schema.ShareMessage.new_message()
     match message:
-        case Ask():
+        case LoanRequest():
             _fill_ask(builder.init("ask"), message)
-        case Grant():
+        case LoanGrant():
             grant = builder.init("grant")
             grant.customer = message.customer
             grant.loan = message.loan
             grant.tokens = message.tokens
             grant.level = message.level
-        case Poll():
+        case LedgerPoll():
             poll = builder.init("poll")
             poll.number = message.number
             poll.epoch = message.epoch
-        case Report():
+        case LedgerReport():
             report = builder.init("report")
             report.number = message.number
             report.epoch = message.epoch
-            report.sure = message.sure
+            report.sure = message.confirmed
             if message.ledger is not None:
                 _fill_ledger(report.init("ledger"), message.ledger)
     return builder.to_bytes_packed()
@@ -101,21 +101,23 @@
         case "grant":
             grant = reader.grant
             tokens, level = _amount(grant.tokens), _amount(grant.level)
-            return Grant(grant.customer, grant.loan, tokens, level)
+            return LoanGrant(grant.customer, grant.loan, tokens, level)
         case "poll":
-            return Poll(reader.poll.number, reader.poll.epoch)
+            return LedgerPoll(reader.poll.number, reader.poll.epoch)
         case "report":
             report = reader.report
             ledger = _ledger(report.ledger) if report.ledger.epoch else None
-            return Report(report.number, report.epoch, report.sure, ledger)
+            return LedgerReport(report.number, report.epoch, report.sure, ledger)
         case other:
             raise ShareCodecError(f"unknown message {other}")
 
 
 def _ask(ask):
-    returned = tuple(Returned(item.loan, _amount(item.unused)) for item in ask.returned)
+    returned = tuple(
+        ReturnedLoan(item.loan, _amount(item.unused)) for item in ask.returned
+    )
     tokens, refund = _amount(ask.tokens), _amount(ask.refund)
-    return Ask(ask.customer, ask.loan, tokens, refund, returned)
+    return LoanRequest(ask.customer, ask.loan, tokens, refund, returned)
 
 
 def _ledger(reader):
--- a/src/cassiaford/fleet/_sent_prompts.py
+++ b/src/cassiaford/fleet/_sent_prompts.py
@@ -14,7 +14,7 @@
 from cassiaford.timeline import Journal
 
 # A tenth of a second of an engine's work at the speed first assumed of it.
-MIN_TOLD_TOKENS = 2048
+MIN_REPORTED_TOKENS = 2048
 # Telling every peer costs messages by the square of the fleet; larger fleets
 # go by reports alone (docs/CAPACITY.md).
 MAX_TOLD_PEERS = 32
@@ -22,7 +22,7 @@
 _schema = load_schema(__file__, "load.capnp")
 
 
-class SentPrompts:
+class SentPromptExchange:
     """Tells peers which servers got long prompts, and passes on what they tell.
 
     A lost message leaves what reports say, so none is sent twice.
@@ -32,15 +32,15 @@
         self.transport = transport
         self.journal = journal
         self.instance = instance
-        self.on_heard: Callable[[str, int], None] = lambda server, tokens: None
+        self.on_peer_prompt: Callable[[str, int], None] = lambda server, tokens: None
 
     def start(self) -> None:
         """Begin to listen."""
         self.transport.subscribe(Channel.LOAD, self._on_message)
 
-    def sent(self, server: str, tokens: int) -> None:
+    def broadcast(self, server: str, tokens: int) -> None:
         """Tell peers of a prompt with so many tokens to compute, if it is long."""
-        if tokens < MIN_TOLD_TOKENS:
+        if tokens < MIN_REPORTED_TOKENS:
             return
         if len(self.transport.members()) > MAX_TOLD_PEERS:
             return
@@ -55,7 +55,7 @@
                 Event.PEER_MESSAGE_DROPPED, reason="undecodable", peer=received.sender
             )
             return
-        self.on_heard(server, tokens)
+        self.on_peer_prompt(server, tokens)
 
 
 def encode_sent_prompt(server: str, tokens: int) -> bytes:
--- a/src/cassiaford/fleet/_suspects.py
+++ b/src/cassiaford/fleet/_suspects.py
@@ -10,12 +10,12 @@
 from cassiaford.fleet._transport import Channel, PeerMessage, PeerTransport
 from cassiaford.logs import Event
 from cassiaford.policy import (
-    Cleared,
+    ClearedFingerprint,
     Crash,
     CrashReport,
-    SuspectBook,
     SuspectMessage,
-    Wanted,
+    SuspectTracker,
+    SuspicionRequest,
 )
 from cassiaford.timeline import Journal, Subject
 
@@ -42,7 +42,7 @@
         self.journal = journal
         self.instance = instance
         self.clock = clock
-        self.book = SuspectBook()
+        self.book = SuspectTracker()
         self.undecoded = 0
         self._heard = False
         self._repeats = []
@@ -69,7 +69,7 @@
         with self._lock:
             return self.book.is_suspect(fingerprint, self.clock())
 
-    def server_crashed(
+    def record_crash(
         self, server: str, fingerprints: tuple[str, ...], incarnation: str = ""
     ) -> None:
         """Report the requests that were running on a server that crashed.
@@ -81,7 +81,7 @@
             self._crash_number += 1
             own_name = f"{self.instance}/{self._crash_number}"
             crash = Crash(server, incarnation or own_name)
-            self.book.report(crash, fingerprints, self.clock())
+            self.book.record_crash(crash, fingerprints, self.clock())
         self.journal.record(
             Event.SERVER_CRASH_REPORTED,
             Subject(server=server),
@@ -89,10 +89,10 @@
         )
         self._spread(_split(CrashReport(crash, fingerprints)))
 
-    def completed(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Clear a request that has run to its end."""
         with self._lock:
-            cleared = self.book.completed(fingerprint, self.clock())
+            cleared = self.book.record_completion(fingerprint, self.clock())
         if cleared is not None:
             self._spread([cleared])
 
@@ -127,9 +127,9 @@
                     self._send_all(body)
                 if not self._heard and now >= asked_at + 1.0:
                     asked_at = now
-                    self._send_all(encode_suspect_message(Wanted()))
+                    self._send_all(encode_suspect_message(SuspicionRequest()))
             except Exception as error:
-                self.journal.record(Event.THREAD_FAILED, error=repr(error))
+                self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
 
     def _due(self, now):
         with self._lock:
@@ -146,27 +146,29 @@
                 Event.PEER_MESSAGE_DROPPED, reason="undecodable", peer=received.sender
             )
             return
-        if isinstance(message, Wanted):
+        if isinstance(message, SuspicionRequest):
             self._tell_all(received.sender)
             return
         with self._lock:
             if isinstance(message, CrashReport):
-                self.book.report(message.crash, message.fingerprints, self.clock())
+                self.book.record_crash(
+                    message.crash, message.fingerprints, self.clock()
+                )
             else:
                 self.book.clear(message)
         self._heard = True
 
     def _tell_all(self, instance):
         with self._lock:
-            reports = self.book.reports()
+            reports = self.book.crash_reports()
         # An empty clearance says that there is nothing to tell.
         messages = [part for report in reports for part in _split(report)]
-        for message in messages or [Cleared("", ())]:
+        for message in messages or [ClearedFingerprint("", ())]:
             body = encode_suspect_message(message)
             self.transport.send(instance, Channel.SUSPECTS, body)
 
 
-def create_suspects(
+def create_suspect_registry(
     transport: PeerTransport,
     journal: Journal,
     instance: str,
@@ -184,13 +186,13 @@
             report = builder.init("report")
             _fill_crash(report.crash, message.crash)
             report.fingerprints = list(message.fingerprints)
-        case Cleared():
+        case ClearedFingerprint():
             cleared = builder.init("cleared")
             cleared.fingerprint = message.fingerprint
             crashes = cleared.init("crashes", len(message.crashes))
             for item, crash in zip(crashes, message.crashes, strict=True):
                 _fill_crash(item, crash)
-        case Wanted():
+        case SuspicionRequest():
             builder.wanted = None
     return builder.to_bytes_packed()
 
@@ -204,9 +206,11 @@
             return CrashReport(_crash(report.crash), tuple(report.fingerprints))
         case "cleared":
             cleared = reader.cleared
-            return Cleared(cleared.fingerprint, tuple(map(_crash, cleared.crashes)))
+            return ClearedFingerprint(
+                cleared.fingerprint, tuple(map(_crash, cleared.crashes))
+            )
         case "wanted":
-            return Wanted()
+            return SuspicionRequest()
         case other:
             raise ValueError(f"unknown message {other}")
 
--- a/src/cassiaford/gateway/__init__.py
+++ b/src/cassiaford/gateway/__init__.py
@@ -21,32 +21,32 @@
     Directory,
     MalformedError,
     ReadinessProbe,
-    Records,
+    RecordDecoder,
 )
 from cassiaford.gateway._engine_control import (
     EngineCallError,
     EngineControl,
     EngineReport,
-    OrderAnswer,
-    OtherServerError,
+    OrderResponse,
     VersionOrder,
+    WrongServerError,
 )
 from cassiaford.gateway._gateway import Gateway
-from cassiaford.gateway._http_caller import CallFailedError, HttpCaller, Reply
+from cassiaford.gateway._http_caller import CallFailedError, HttpClient, Reply
 from cassiaford.gateway._messages import (
     BackendServer,
     Forwarding,
     Headers,
     HttpRequest,
     PromptPart,
-    RequestFacts,
-    ResponseFacts,
+    RequestMetadata,
+    ResponseMetadata,
 )
 from cassiaford.gateway._server_connection import ConnectionPool
 from cassiaford.gateway._settings import (
     GatewayAddresses,
     GatewaySettings,
-    ResendLimits,
+    RetryLimits,
 )
 from cassiaford.gateway._store import (
     Change,
@@ -63,7 +63,7 @@
     StoreRefusedError,
     Write,
 )
-from cassiaford.gateway._world import GatewayWorld
+from cassiaford.gateway._world import PlatformAdapter
 
 __all__ = [
     "HOP_BY_HOP",
@@ -88,26 +88,26 @@
     "Gateway",
     "GatewayAddresses",
     "GatewaySettings",
-    "GatewayWorld",
+    "PlatformAdapter",
     "Headers",
     "HistoryLostError",
-    "HttpCaller",
+    "HttpClient",
     "HttpRequest",
     "Item",
     "LeaseEndedError",
     "MalformedError",
-    "OrderAnswer",
-    "OtherServerError",
+    "OrderResponse",
+    "WrongServerError",
     "Page",
     "PrefixStore",
     "PromptPart",
     "ReadinessProbe",
-    "Records",
+    "RecordDecoder",
     "Reply",
-    "RequestFacts",
+    "RequestMetadata",
     "RequestKind",
-    "ResendLimits",
-    "ResponseFacts",
+    "RetryLimits",
+    "ResponseMetadata",
     "Route",
     "Service",
     "SharedStore",
--- a/src/cassiaford/gateway/_attempt.py
+++ b/src/cassiaford/gateway/_attempt.py
@@ -4,13 +4,13 @@
 import re
 from dataclasses import dataclass, field
 
-from cassiaford._event_splitter import EventSplitter, StreamError
+from cassiaford._event_splitter import EventSplitter, EventStreamError
 from cassiaford.gateway._dialect import Dialect
 from cassiaford.gateway._messages import (
     Forwarding,
     Headers,
     HttpRequest,
-    ResponseFacts,
+    ResponseMetadata,
 )
 from cassiaford.gateway._server_connection import (
     ConnectionPool,
@@ -36,7 +36,7 @@
     """A response whose head is judged; its body may still be on the way."""
 
     head: ResponseHead
-    facts: ResponseFacts
+    facts: ResponseMetadata
     connection: ServerConnection = field(repr=False)
 
     @property
@@ -128,7 +128,7 @@
             detail = f"status {head.status} without word that it has not run"
             raise ExchangeError(Failure.OVERLOADED, detail)
         if 200 <= head.status < 300 and not facts.signed:
-            raise ExchangeError(Failure.BROKEN_ANSWER, "success without signature")
+            raise ExchangeError(Failure.INVALID_RESPONSE, "success without signature")
 
     def _misdirected(self, facts):
         if facts.server_id == self.forwarding.server.server_id:
@@ -154,15 +154,17 @@
                 async with asyncio.timeout(time_out_s):
                     data = await self.connection.chunk()
             except TimeoutError as error:
-                raise ExchangeError(Failure.SILENT) from error
+                raise ExchangeError(Failure.IDLE_TIMEOUT) from error
             if not data:
                 if self.splitter.partial:
-                    raise ExchangeError(Failure.SHORT_ANSWER, "ended within an event")
+                    raise ExchangeError(
+                        Failure.TRUNCATED_RESPONSE, "ended within an event"
+                    )
                 return b""
             try:
                 events = self.splitter.feed(data)
-            except StreamError as error:
-                raise ExchangeError(Failure.BROKEN_ANSWER, str(error)) from error
+            except EventStreamError as error:
+                raise ExchangeError(Failure.INVALID_RESPONSE, str(error)) from error
             if events:
                 return b"".join(events)
 
--- a/src/cassiaford/gateway/_caller_connection.py
+++ b/src/cassiaford/gateway/_caller_connection.py
@@ -100,7 +100,7 @@
         if not self._receiving:
             self._receiving = True
             self._started_at = self.loop.time()
-            self._start_timer(self.handler.limits.header_time_out_s)
+            self._start_timer(self.handler.limits.header_timeout_s)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -261,7 +261,7 @@
         self.transport.close()
 
     def _await_request(self):
-        self._start_timer(self.handler.limits.idle_time_out_s)
+        self._start_timer(self.handler.limits.idle_timeout_s)
 
     def _start_timer(self, delay_s):
         self._stop_timer()
--- a/src/cassiaford/gateway/_clocks.py
+++ b/src/cassiaford/gateway/_clocks.py
@@ -17,7 +17,7 @@
     def __init__(self):
         self.before = self._suspension()
 
-    def away(self) -> float:
+    def elapsed_suspension_s(self) -> float:
         """Return for how long the machine was suspended since the last call."""
         suspension = self._suspension()
         away, self.before = suspension - self.before, suspension
--- a/src/cassiaford/gateway/_configuration.py
+++ b/src/cassiaford/gateway/_configuration.py
@@ -38,7 +38,7 @@
     path_prefix: str
     kind: RequestKind
     targets: tuple[Target, ...]
-    time_out_s: float
+    timeout_s: float
     target_latency_s: float
     target_pause_s: float = 0.0
     priority: int = 0
@@ -110,8 +110,8 @@
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
-    header_time_out_s: float = 3.0
-    idle_time_out_s: float = 15.0
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 @dataclass(frozen=True)
--- a/src/cassiaford/gateway/_copies.py
+++ b/src/cassiaford/gateway/_copies.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cassiaford.gateway._event_log import EventLog
-from cassiaford.gateway._http_caller import CallFailedError, HttpCaller
+from cassiaford.gateway._http_caller import CallFailedError, HttpClient
 from cassiaford.gateway._mirror import Mirror, MirrorSync
 from cassiaford.gateway._peer_codec import (
     PeerMessageError,
@@ -28,7 +28,7 @@
     ):
         self.mirror = mirror
         self.sync = sync
-        self.caller = HttpCaller(pool)
+        self.caller = HttpClient(pool)
         self.log = log
         self._now = asyncio.get_running_loop().time
         self._asked_at = -COPY_EVERY_S
@@ -43,7 +43,7 @@
         """Return the copy, or None while it is not complete."""
         return encode_snapshot(self.mirror.copies()) if self.mirror.complete else None
 
-    def peer_is_newer(self, peer: PeerState, revision: int) -> None:
+    def on_newer_peer(self, peer: PeerState, revision: int) -> None:
         """Take a peer's copy if the store does not answer."""
         if self.sync.reachable or self._now() - self._asked_at < COPY_EVERY_S:
             return
@@ -56,6 +56,6 @@
                 "GET", peer.peer_address, COPY_TARGET, COPY_TIME_OUT_S
             )
             if reply.status == 200 and self.mirror.adopt(decode_snapshot(reply.body)):
-                self.log.write(Event.COPY_TAKEN, peer=peer.name)
+                self.log.write(Event.PEER_COPY_APPLIED, peer=peer.name)
         except (CallFailedError, PeerMessageError) as error:
             self.log.write(Event.PEER_MESSAGE_DROPPED, peer=peer.name, cause=str(error))
--- a/src/cassiaford/gateway/_dialect.py
+++ b/src/cassiaford/gateway/_dialect.py
@@ -8,8 +8,8 @@
     Forwarding,
     Headers,
     HttpRequest,
-    RequestFacts,
-    ResponseFacts,
+    RequestMetadata,
+    ResponseMetadata,
 )
 
 
@@ -21,7 +21,7 @@
     """Reads and writes the headers of callers and backend servers."""
 
     @abstractmethod
-    def read_request(self, request: HttpRequest) -> RequestFacts:
+    def read_request(self, request: HttpRequest) -> RequestMetadata:
         """Return what a caller's headers say; raise `MalformedError`."""
 
     @abstractmethod
@@ -29,7 +29,7 @@
         """Return the headers with which a request goes to a backend server."""
 
     @abstractmethod
-    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseMetadata:
         """Return what the headers of a response say."""
 
     @abstractmethod
@@ -37,7 +37,7 @@
         """Return the headers of a response that its caller gets."""
 
 
-class Records(ABC):
+class RecordDecoder(ABC):
     """Decodes what operators and backend servers keep in the shared store."""
 
     configuration_key: str
--- a/src/cassiaford/gateway/_engine_control.py
+++ b/src/cassiaford/gateway/_engine_control.py
@@ -11,15 +11,15 @@
     """A call to an engine failed; an order may have been accepted."""
 
 
-class OtherServerError(EngineCallError):
+class WrongServerError(EngineCallError):
     """Another server answers at the engine's address; nothing took effect."""
 
 
-class OrderAnswer(enum.Enum):
+class OrderResponse(enum.Enum):
     """How an engine answers an order."""
 
     ACCEPTED = "accepted"
-    ALREADY_HOLDS = "already_holds"
+    ALREADY_LOADED = "already_holds"
     CONFLICT = "conflict"
     FENCED_OFF = "fenced_off"
     REJECTED = "rejected"
@@ -60,5 +60,5 @@
         """Return an engine's report."""
 
     @abstractmethod
-    async def order(self, server: BackendServer, order: VersionOrder) -> OrderAnswer:
+    async def order(self, server: BackendServer, order: VersionOrder) -> OrderResponse:
         """Give an engine an order."""
--- a/src/cassiaford/gateway/_exchange.py
+++ b/src/cassiaford/gateway/_exchange.py
@@ -21,7 +21,7 @@
 from cassiaford.gateway._prober import ServerProber
 from cassiaford.gateway._server_connection import ConnectionPool, ExchangeError
 from cassiaford.gateway._view import View
-from cassiaford.gateway.policy import SendBudget, ServerTrust, should_wait
+from cassiaford.gateway.policy import RetryBudget, ServerHealth, should_wait
 from cassiaford.logs import Event
 from cassiaford.verdict import Failure, Refusal, RefusalReason, Verdict, refuse
 
@@ -57,10 +57,10 @@
     dialect: Dialect
     view: View
     placer: Placer
-    trust: ServerTrust
+    trust: ServerHealth
     prober: ServerProber
     pool: ConnectionPool
-    budgets: dict[str, SendBudget]
+    budgets: dict[str, RetryBudget]
     log: EventLog
     rng: random.Random
 
@@ -78,7 +78,7 @@
         """Serve the request; return a refusal if nothing of it was served."""
         job = self.job
         budget = self.parts.budgets[job.service]
-        budget.request(self.loop.time())
+        budget.record_request(self.loop.time())
         try:
             async with asyncio.timeout_at(job.ends_at):
                 return await self._send_until_served(budget)
@@ -93,7 +93,7 @@
             now = self.loop.time()
             if choice is None:
                 return self._none_usable(now)
-            if job.sends and not budget.resend(now, self.instances):
+            if job.sends and not budget.take(now, self.instances):
                 return self._failed(RefusalReason.RETRIES_EXHAUSTED)
             if await self._attempt(choice) is not _Sent.AGAIN:
                 return None if job.failure is None else self._failed()
@@ -128,7 +128,7 @@
             now - job.request.received_at,
             job.route.target_latency_s,
             job.patience_s,
-            self.parts.placer.waiting_s(job.service, self.instances, now),
+            self.parts.placer.waiting_prefill_s(job.service, self.instances, now),
         )
 
     async def _wait(self, prefill_s):
@@ -164,7 +164,7 @@
         job.server = choice.server.server_id
         attempt = Attempt(self.parts.dialect, self.parts.pool, self._forwarding(choice))
         placer = self.parts.placer
-        placer.started(choice, job.facts, job.customer, self.loop.time())
+        placer.record_start(choice, job.facts, job.customer, self.loop.time())
         try:
             answer = await self._answer(attempt, choice)
             if answer is None:
@@ -174,7 +174,7 @@
             return self._note_failure(attempt, choice, error)
         finally:
             attempt.cancel()
-            placer.ended(choice, job.facts)
+            placer.record_end(choice, job.facts)
 
     async def _answer(self, attempt, choice):
         """Return the answer's head; None if its server's failure is replaced."""
@@ -198,7 +198,7 @@
         job.verdict = Verdict.MAY_HAVE_RUN
         if answer.head.status < 500:
             return answer
-        self.parts.trust.failed(choice.key, self.loop.time())
+        self.parts.trust.record_failure(choice.key, self.loop.time())
         if not job.may_run_again or job.head_sent:
             return answer
         job.failure = Failure.SERVER_ERROR
@@ -219,7 +219,7 @@
         self.job.status = answer.head.status
         self.job.verdict = Verdict.RAN
         if answer.head.status < 500:
-            self.parts.trust.answered(choice.key, self.loop.time())
+            self.parts.trust.record_success(choice.key, self.loop.time())
         return _Sent.FINAL
 
     async def _relay_whole(self, attempt, answer: Answer):
@@ -249,14 +249,14 @@
             now = self.loop.time()
             if begun_at is None:
                 begun_at = now
-                self.parts.placer.first_token(choice, job.facts, begun_at)
+                self.parts.placer.record_first_token(choice, job.facts, begun_at)
             else:
                 job.longest_pause_s = max(job.longest_pause_s, now - event_at)
             event_at = now
             self._send_events(answer, events)
             await job.connection.drain()
         if begun_at is not None:
-            self.parts.placer.answered(job.route, begun_at, self.loop.time())
+            self.parts.placer.record_response(job.route, begun_at, self.loop.time())
         if not job.head_sent:
             self._send_events(answer, b"")
         job.connection.end()
@@ -282,19 +282,19 @@
         job.failure = error.failure
         now = self.loop.time()
         if attempt.replaced:
-            self.parts.pool.forget(choice.server.address)
-            self.parts.view.replaced(choice.server)
+            self.parts.pool.close_idle(choice.server.address)
+            self.parts.view.record_replacement(choice.server)
         if error.failure is Failure.NOT_STARTED:
-            self.parts.placer.turned_away(choice, job.facts, now)
+            self.parts.placer.record_rejection(choice, job.facts, now)
         elif not attempt.sent:
-            self.parts.prober.lost(choice.server)
+            self.parts.prober.record_unreachable(choice.server)
         else:
             if not attempt.answered:
                 job.runs += 1
             job.verdict = Verdict.MAY_HAVE_RUN
-            self.parts.trust.failed(choice.key, now)
-            if error.failure is Failure.RESET_BEFORE_ANSWER:
-                self.parts.prober.lost(choice.server)
+            self.parts.trust.record_failure(choice.key, now)
+            if error.failure is Failure.RESET_BEFORE_RESPONSE:
+                self.parts.prober.record_unreachable(choice.server)
         return _Sent.AGAIN
 
     def _stall_s(self):
@@ -331,7 +331,7 @@
             RefusalReason.NO_BACKEND,
             placer.explain(job.service, job.facts, job.tried, now)
             + self._shortage(now),
-            self._return_after(placer.back_in(job.service, now)),
+            self._return_after(placer.backoff_remaining_s(job.service, now)),
         )
 
     def _shortage(self, now):
--- a/src/cassiaford/gateway/_front.py
+++ b/src/cassiaford/gateway/_front.py
@@ -19,11 +19,11 @@
 from cassiaford.gateway._placer import Placer
 from cassiaford.gateway._prober import ServerProber
 from cassiaford.gateway._server_connection import ConnectionPool
-from cassiaford.gateway._settings import ResendLimits
+from cassiaford.gateway._settings import RetryLimits
 from cassiaford.gateway._view import View
-from cassiaford.gateway.policy import FleetRates, SendBudget, ServerTrust
+from cassiaford.gateway.policy import FleetRates, RetryBudget, ServerHealth
 from cassiaford.logs import Event
-from cassiaford.metrics import Counter, Label, Metrics, Quantity
+from cassiaford.metrics import Counter, DurationMetric, Label, Metrics
 from cassiaford.verdict import Refusal, RefusalReason, Verdict, refuse
 
 # A caller that is turned away for a moment may come back after this time.
@@ -51,11 +51,11 @@
         dialect: Dialect,
         view: View,
         placer: Placer,
-        trust: ServerTrust,
+        trust: ServerHealth,
         prober: ServerProber,
         pool: ConnectionPool,
         rates: FleetRates,
-        resends: ResendLimits,
+        resends: RetryLimits,
         log: EventLog,
         metrics: Metrics,
         rng: random.Random,
@@ -129,7 +129,7 @@
             if customer is None:
                 refusal = refuse(RefusalReason.INVALID_KEY, "no customer has this key")
                 return _Rejected(refusal, facts.attempt_id, route.name)
-        allowed_s = route.time_out_s
+        allowed_s = route.timeout_s
         if facts.deadline_s is not None:
             allowed_s = min(allowed_s, facts.deadline_s)
         job = Job(
@@ -166,7 +166,7 @@
         now = self.loop.time()
         if self.rates.charge(customer.name, tokens, now):
             return None
-        wait_s = self.rates.return_after(customer.name, tokens, now)
+        wait_s = self.rates.retry_after_s(customer.name, tokens, now)
         return refuse(
             RefusalReason.RATE_LIMITED,
             f"customer {customer.name} has used up its rate:"
@@ -180,7 +180,7 @@
     def _budget(self, service):
         if service not in self.parts.budgets:
             limits = self.resends
-            self.parts.budgets[service] = SendBudget(
+            self.parts.budgets[service] = RetryBudget(
                 limits.ratio, limits.slack, limits.window_s
             )
 
@@ -245,7 +245,7 @@
             self.log.write(event, **fields, **self.beliefs())
             return
         self.metrics.observe(
-            Quantity.TIME_TO_FIRST_TOKEN,
+            DurationMetric.TIME_TO_FIRST_TOKEN,
             job.first_s or took_s,
             Label("route", job.route.name),
         )
@@ -261,7 +261,7 @@
     def _observe_pause(self, job):
         if job.longest_pause_s:
             route = Label("route", job.route.name)
-            self.metrics.observe(Quantity.LONGEST_GAP, job.longest_pause_s, route)
+            self.metrics.observe(DurationMetric.LONGEST_GAP, job.longest_pause_s, route)
 
     def _caller_left(self, job):
         self._count(job, job.verdict)
--- a/src/cassiaford/gateway/_gateway.py
+++ b/src/cassiaford/gateway/_gateway.py
@@ -14,7 +14,7 @@
 from cassiaford.gateway._dialect import MalformedError
 from cassiaford.gateway._event_log import EventLog
 from cassiaford.gateway._front import Front
-from cassiaford.gateway._gauges import beliefs, gauges
+from cassiaford.gateway._gauges import gauges, state_ages
 from cassiaford.gateway._mirror import Mirror, MirrorSync, Section
 from cassiaford.gateway._orders import Orderer
 from cassiaford.gateway._peers import PeerReports
@@ -24,17 +24,17 @@
 from cassiaford.gateway._registration import Registration, decode_entry
 from cassiaford.gateway._settings import GatewaySettings
 from cassiaford.gateway._store import Change
-from cassiaford.gateway._tasks import keep_going
+from cassiaford.gateway._tasks import run_with_restarts
 from cassiaford.gateway._view import View
-from cassiaford.gateway._world import GatewayWorld
+from cassiaford.gateway._world import PlatformAdapter
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     FleetRates,
     PeerState,
     PeerTable,
-    RollOut,
-    ServerTrust,
-    ServiceBook,
+    Rollout,
+    ServerHealth,
+    ServicePlacer,
 )
 from cassiaford.logs import Event
 from cassiaford.metrics import Metrics
@@ -67,13 +67,13 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        world: GatewayWorld,
+        adapter: PlatformAdapter,
         rng: random.Random | None = None,
         reload: Callable[[], GatewaySettings] | None = None,
     ):
         self.reload = reload
         self.settings = settings
-        self.world = world
+        self.adapter = adapter
         self.loop = asyncio.get_running_loop()
         incarnation = time.time_ns() // 1_000_000
         self.rng = rng or random.Random(f"{settings.instance}-{incarnation}")
@@ -98,30 +98,30 @@
         self._tasks: list[asyncio.Task] = []
 
     def _create_decisions(self):
-        self.engines = EngineBook()
-        self.services = ServiceBook()
-        self.trust = ServerTrust()
+        self.engines = EnginePlacer()
+        self.services = ServicePlacer()
+        self.trust = ServerHealth()
         self.rates = FleetRates(self.settings.rate_window_s)
         self.table = PeerTable()
-        self.view = View(self.world.records, self.rates, self.log)
-        self.view.on_weights = self.engines.emptied
-        self.view.on_peer = self._own_key_changed
-        self.view.on_servers = self._servers_changed
-        self.view.on_configuration = self._tell_readiness
+        self.view = View(self.adapter.records, self.rates, self.log)
+        self.view.on_versions_changed = self.engines.clear_cached_prefixes
+        self.view.on_own_key_changed = self._own_key_changed
+        self.view.on_servers_changed = self._servers_changed
+        self.view.on_configuration_changed = self._tell_readiness
 
     def _create_store_parts(self):
-        records = self.world.records
+        records = self.adapter.records
         sections = (
             Section(records.operators_prefix),
             Section(records.servers_prefix, SERVERS_GATHER_S),
             Section(OWN_PREFIX),
         )
         self.mirror = Mirror(sections, self.view)
-        self.sync = MirrorSync(self.mirror, self.world.store, self.rng, self.log)
+        self.sync = MirrorSync(self.mirror, self.adapter.store, self.rng, self.log)
         self.registration = Registration(
             INSTANCES_PREFIX + self.state.name,
             self.state,
-            self.world.store,
+            self.adapter.store,
             self.rng,
             self.sync,
         )
@@ -129,14 +129,14 @@
             instance=self.state.name,
             key=ORDERER_KEY,
             view=self.view,
-            store=self.world.store,
-            control=self.world.control,
-            roll_out=RollOut(self.view.named, self.settings.weights_within_s),
+            store=self.adapter.store,
+            control=self.adapter.control,
+            rollout=Rollout(self.view.named_versions, self.settings.weights_within_s),
             rng=self.rng,
             sync=self.sync,
             log=self.log,
         )
-        self.orderer.tokens = self.engines.tokens
+        self.orderer.running_tokens = self.engines.running_tokens
         self.orderer.unstarted = self.engines.unstarted
         self.orderer.demand = self.engines.demand
 
@@ -149,15 +149,15 @@
             self.rates,
             self.log,
         )
-        self.prober = ServerProber(self.view, self.trust, self.world.pool, self.log)
+        self.prober = ServerProber(self.view, self.trust, self.adapter.pool, self.log)
         self.orderer.unreachable = lambda: self.prober.unreachable
-        self.store_prober = PrefixStoreProber(self.view, self.world.pool, self.log)
-        self.peers.on_unreachable = self.prober.heard
-        self.peers.on_held = self._held_changed
-        self.orderer.on_held = self.peers.hold
+        self.store_prober = PrefixStoreProber(self.view, self.adapter.pool, self.log)
+        self.peers.on_unreachable = self.prober.probe_reported
+        self.peers.on_out_of_use = self._held_changed
+        self.orderer.on_out_of_use = self.peers.set_out_of_use
         self.peers.revision = lambda: self.mirror.revision
-        self.copies = StoreCopies(self.mirror, self.sync, self.world.pool, self.log)
-        self.peers.on_newer = self.copies.peer_is_newer
+        self.copies = StoreCopies(self.mirror, self.sync, self.adapter.pool, self.log)
+        self.peers.on_newer_peer = self.copies.on_newer_peer
 
     def _create_front(self):
         settings = self.settings
@@ -165,28 +165,28 @@
             view=self.view,
             engines=self.engines,
             services=self.services,
-            trust=self.trust,
+            health=self.trust,
             data_centre=settings.data_centre,
-            weights_due_s=settings.weights_within_s - WEIGHTS_MARGIN_S,
+            weights_grace_s=settings.weights_within_s - WEIGHTS_MARGIN_S,
             rng=self.rng,
         )
-        self.placer.store_steady = self._store_steady_since
-        self.placer.on_placed = self.peers.placed
+        self.placer.store_reachable_since = self._store_steady_since
+        self.placer.on_placement = self.peers.record_placement
         self.front = Front(
-            dialect=self.world.dialect,
+            dialect=self.adapter.dialect,
             view=self.view,
             placer=self.placer,
             trust=self.trust,
             prober=self.prober,
-            pool=self.world.pool,
+            pool=self.adapter.pool,
             rates=self.rates,
-            resends=settings.resends,
+            resends=settings.retry_limits,
             log=self.log,
             metrics=self.metrics,
             rng=self.rng,
         )
         self.front.instances = lambda: len(self.table.expected()) + 1
-        self.front.beliefs = lambda: beliefs(self, self.loop.time())
+        self.front.beliefs = lambda: state_ages(self, self.loop.time())
 
     # Start and stop.
 
@@ -204,7 +204,9 @@
             self.store_prober.run,
             self._keep_house,
         )
-        self._tasks = [self.loop.create_task(keep_going(p, self.log)) for p in parts]
+        self._tasks = [
+            self.loop.create_task(run_with_restarts(p, self.log)) for p in parts
+        ]
         await self.stopping.wait()
         await self._drain()
         await self.close()
@@ -220,7 +222,7 @@
             connection.abort()
         if self.peers.transport is not None:
             self.peers.transport.close()
-        self.world.pool.close()
+        self.adapter.pool.close()
 
     def _reload(self):
         """Read the settings again; addresses stay as they were at the start."""
@@ -234,10 +236,10 @@
         addresses = self.settings.addresses
         kept = settings.addresses == addresses
         self.settings = replace(settings, addresses=addresses)
-        self.front.resends = settings.resends
+        self.front.resends = settings.retry_limits
         self.front.parts.budgets.clear()
-        self.orderer.roll_out.within_s = settings.weights_within_s
-        self.log.write(Event.SETTINGS_READ, addresses_kept=kept)
+        self.orderer.rollout.deadline_s = settings.weights_within_s
+        self.log.write(Event.SETTINGS_RELOADED, addresses_kept=kept)
 
     @property
     def ready(self) -> bool:
@@ -248,10 +250,10 @@
 
     async def _listen(self):
         addresses = self.settings.addresses
-        world = self.world
-        probe = ProbeHandler(world.probe.requested, lambda: self.ready)
+        adapter = self.adapter
+        probe = ProbeHandler(adapter.probe.requested, lambda: self.ready)
         directory = BodyHandler(
-            world.directory.requested, self._directory_body, "application/json"
+            adapter.directory.requested, self._directory_body, "application/json"
         )
         copies = BodyHandler(
             self.copies.requested,
@@ -300,7 +302,7 @@
             # Leases run out by themselves; the drain does not wait for a store
             # that does not answer.
             async with asyncio.timeout(0.5):
-                await self.orderer.give_up()
+                await self.orderer.resign()
                 await self.registration.withdraw()
 
     # What goes on beside requests.
@@ -309,15 +311,15 @@
         suspensions = SuspensionWatch()
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
-            if away := suspensions.away():
+            if away := suspensions.elapsed_suspension_s():
                 self.log.write(Event.INSTANCE_SUSPENDED, away_s=round(away, 3))
             self._expire()
 
     def _expire(self):
         now = self.loop.time()
         self.view.expire()
-        self.engines.homes.expire(now)
-        self.world.pool.sweep()
+        self.engines.prefix_locations.expire(now)
+        self.adapter.pool.sweep()
         for name in self.table.expire(now):
             self._forget_peer(name)
         self._tell_readiness()
@@ -327,38 +329,38 @@
         )
         self.peers.unreachable = self.prober.unreachable
         self._held_changed()
-        self.placer.stores_away = self.store_prober.away
+        self.placer.unreachable_stores = self.store_prober.unreachable
 
     def _held_changed(self):
-        self.placer.held = self.peers.all_held()
+        self.placer.out_of_use = self.peers.all_out_of_use()
 
     def _forget_peer(self, name):
         self.log.write(Event.MEMBER_LOST, peer=name)
-        self.engines.forget_peer(name)
-        self.services.forget_peer(name)
+        self.engines.remove_peer(name)
+        self.services.remove_peer(name)
 
     def _tell_readiness(self):
         if self.state.ready != self.ready:
             self.state = self.peers.state = replace(self.state, ready=self.ready)
             if self.ready:
                 self.log.write(Event.INSTANCE_READY)
-            self.peers.tell()
+            self.peers.send_report()
 
     def _servers_changed(self):
         keys = {key for servers in self.view.servers.values() for key in servers}
-        self.engines.keep(keys)
-        self.trust.keep(keys)
+        self.engines.retain(keys)
+        self.trust.retain(keys)
         self._tell_readiness()
 
     def _own_key_changed(self, change: Change):
         now = self.loop.time()
         if change.key == ORDERER_KEY:
-            self.orderer.key_changed(change.item is not None)
+            self.orderer.on_key_changed(change.item is not None)
             return
         name = change.key.removeprefix(INSTANCES_PREFIX)
         if name == self.state.name:
             if change.item is None and not self.stopping.is_set():
-                self.registration.present = False
+                self.registration.registered = False
         elif change.item is None:
             self.table.unregister(name)
         else:
@@ -392,4 +394,4 @@
         self.rng.shuffle(addresses)
         if not addresses:
             return None
-        return self.world.directory.answer(addresses, self.settings.directory_ttl_s)
+        return self.adapter.directory.answer(addresses, self.settings.directory_ttl_s)
--- a/src/cassiaford/gateway/_gauges.py
+++ b/src/cassiaford/gateway/_gauges.py
@@ -15,9 +15,9 @@
     yield "requests_in_progress", gateway.front.in_progress
     yield "requests_waiting", len(gateway.placer.waiting.prefill_s)
     yield "caller_connections", len(gateway.connections)
-    yield "server_connections_opened_total", gateway.world.pool.opened
+    yield "server_connections_opened_total", gateway.adapter.pool.opened
     yield "servers_unreachable", len(gateway.prober.unreachable)
-    yield "engines_out_of_use", len(gateway.placer.held)
+    yield "engines_out_of_use", len(gateway.placer.out_of_use)
     yield "prefill_tokens_per_second", gateway.engines.speed.tokens_per_s
     yield "engines_demanded", gateway.engines.demand(now)
     yield "log_lines_dropped", gateway.log.dropped
@@ -30,7 +30,7 @@
     yield "resends_left_least", min(left, default=0.0)
 
 
-def beliefs(gateway, now: float) -> dict[str, object]:
+def state_ages(gateway, now: float) -> dict[str, object]:
     """Return how old is what decisions rest on, for the log."""
     heard_at = gateway.sync.heard_at
     return {
--- a/src/cassiaford/gateway/_http_caller.py
+++ b/src/cassiaford/gateway/_http_caller.py
@@ -27,7 +27,7 @@
         self.sent = sent
 
 
-class HttpCaller:
+class HttpClient:
     """Makes calls over kept connections."""
 
     def __init__(self, pool: ConnectionPool):
--- a/src/cassiaford/gateway/_job.py
+++ b/src/cassiaford/gateway/_job.py
@@ -4,7 +4,7 @@
 
 from cassiaford.gateway._caller_connection import CallerConnection
 from cassiaford.gateway._configuration import Customer, Route
-from cassiaford.gateway._messages import HttpRequest, RequestFacts
+from cassiaford.gateway._messages import HttpRequest, RequestMetadata
 from cassiaford.verdict import Failure, Verdict
 
 
@@ -13,7 +13,7 @@
     """A request on its way, with what was decided about it."""
 
     request: HttpRequest = field(repr=False)
-    facts: RequestFacts
+    facts: RequestMetadata
     route: Route
     customer: Customer | None
     service: str
--- a/src/cassiaford/gateway/_messages.py
+++ b/src/cassiaford/gateway/_messages.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class RequestFacts:
+class RequestMetadata:
     """What the headers of a request say.
 
     `deadline_s` is the time that the caller waits, from its sending. `parts`
@@ -74,13 +74,13 @@
     data_centre: str
     slots: int
     draining: bool = False
-    born: int = 0
+    started_at: int = 0
     versions: dict[str, int] = field(default_factory=dict)
 
     @property
     def incarnation(self) -> tuple[str, int, str]:
         """What no other start of any backend server shares."""
-        return self.server_id, self.born, self.address
+        return self.server_id, self.started_at, self.address
 
 
 @dataclass(frozen=True)
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True)
-class ResponseFacts:
+class ResponseMetadata:
     """What the headers of a backend server's response say.
 
     `signed` is whether they bear the server's signature, `not_run` whether
--- a/src/cassiaford/gateway/_mirror.py
+++ b/src/cassiaford/gateway/_mirror.py
@@ -197,7 +197,7 @@
         self.mirror.listener.store_returned()
         if not self.failing:
             away_s = round(self.clock() - self.lost_at, 3)
-            self.log.write(Event.KEY_VALUE_BACK, away_s=away_s)
+            self.log.write(Event.KEY_VALUE_RECOVERED, away_s=away_s)
 
     def failed(self, caller: str, error: StoreError) -> None:
         """Take note that a call failed.
--- a/src/cassiaford/gateway/_orders.py
+++ b/src/cassiaford/gateway/_orders.py
@@ -13,9 +13,9 @@
 from cassiaford.gateway._engine_control import (
     EngineCallError,
     EngineControl,
-    OrderAnswer,
-    OtherServerError,
+    OrderResponse,
     VersionOrder,
+    WrongServerError,
 )
 from cassiaford.gateway._event_log import EventLog
 from cassiaford.gateway._mirror import MirrorSync
@@ -28,7 +28,7 @@
     Write,
 )
 from cassiaford.gateway._view import View
-from cassiaford.gateway.policy import GiveOrder, RollOut, RollOutServer
+from cassiaford.gateway.policy import GiveOrder, Rollout, RollOutServer
 from cassiaford.logs import Event
 
 # The lease outlives three lost renewals; a new holder follows a lost one
@@ -56,7 +56,7 @@
         view: View,
         store: SharedStore,
         control: EngineControl,
-        roll_out: RollOut,
+        rollout: Rollout,
         rng: random.Random,
         sync: MirrorSync,
         log: EventLog,
@@ -66,7 +66,7 @@
         self.view = view
         self.store = store
         self.control = control
-        self.roll_out = roll_out
+        self.rollout = rollout
         self.rng = rng
         self.sync = sync
         self.log = log
@@ -75,11 +75,11 @@
         self.valid_until = 0.0
         self.taken = False
         self.stopping = False
-        self.tokens = lambda key: 0
+        self.running_tokens = lambda key: 0
         self.unstarted = lambda key: 0
         self.unreachable = lambda: frozenset()
         self.demand = lambda now: 0.0
-        self.on_held: Callable[[frozenset[int]], None] = lambda keys: None
+        self.on_out_of_use: Callable[[frozenset[int]], None] = lambda keys: None
         self._told_held: frozenset[int] = frozenset()
         self._orders: dict[int, asyncio.Task] = {}
         self._now = asyncio.get_running_loop().time
@@ -92,9 +92,9 @@
     @property
     def held(self) -> frozenset[int]:
         """The engines that this instance has taken out of use."""
-        return frozenset(self.roll_out.held) if self.holds else frozenset()
+        return frozenset(self.rollout.held) if self.holds else frozenset()
 
-    def key_changed(self, present: bool) -> None:
+    def on_key_changed(self, present: bool) -> None:
         """Take in whether the orderer's key is there."""
         self.taken = present
 
@@ -107,7 +107,7 @@
                 await self._stand()
             await asyncio.sleep(STEP_S)
 
-    async def give_up(self) -> None:
+    async def resign(self) -> None:
         """Let another instance take over at once."""
         self.stopping = True
         fencing, self.fencing = self.fencing, 0
@@ -121,15 +121,17 @@
 
     def _servers(self):
         return [
-            RollOutServer(key, model, version, self.tokens(key), self.unstarted(key))
-            for model in self.view.named.models
+            RollOutServer(
+                key, model, version, self.running_tokens(key), self.unstarted(key)
+            )
+            for model in self.view.named_versions.models
             for key, server in self.view.engines_of(model).items()
             if key not in self.unreachable()
             for version in (server.versions[model],)
         ]
 
     def _work_to_do(self):
-        return bool(self.roll_out.behind(self._servers()))
+        return bool(self.rollout.behind(self._servers()))
 
     async def _stand(self):
         await asyncio.sleep(self.rng.random() * STAND_SPREAD_S)
@@ -153,7 +155,7 @@
         self.lease = lease
         self.fencing = result.revision
         self.valid_until = asked_at + LEASE_S - LEASE_MARGIN_S
-        self.roll_out.turns.clear()
+        self.rollout.turns.clear()
         self.log.write(Event.ORDERS_RESUMED, fencing=self.fencing)
 
     async def _hold(self):
@@ -172,7 +174,7 @@
         if self.fencing:
             self.log.write(Event.ORDERS_SUSPENDED, cause="lease not renewed")
         self.fencing = 0
-        self.roll_out.turns.clear()
+        self.rollout.turns.clear()
         self._tell_held()
 
     async def _renew(self):
@@ -192,7 +194,7 @@
 
     def _give_due_orders(self):
         now = self._now()
-        orders = self.roll_out.plan(self._servers(), now, self.demand(now))
+        orders = self.rollout.plan(self._servers(), now, self.demand(now))
         self._tell_held()
         for order in orders:
             known = self._orders.get(order.key)
@@ -204,7 +206,7 @@
         held = self.held
         if held != self._told_held:
             self._told_held = held
-            self.on_held(held)
+            self.on_out_of_use(held)
 
     async def _order(self, order: GiveOrder):
         server = self.view.engines_of(order.model).get(order.key)
@@ -228,21 +230,21 @@
                 ),
             )
             self._answered(order, server, answer)
-        except OtherServerError:
-            self.view.replaced(server)
+        except WrongServerError:
+            self.view.record_replacement(server)
         except EngineCallError as error:
             self.log.write(
                 Event.ORDER_NOT_ACCEPTED, server=server.server_id, cause=str(error)
             )
-            self.roll_out.order_lost(order.key)
+            self.rollout.order_lost(order.key)
 
     def _answered(self, order, server, answer):
-        if answer in (OrderAnswer.ACCEPTED, OrderAnswer.ALREADY_HOLDS):
+        if answer in (OrderResponse.ACCEPTED, OrderResponse.ALREADY_LOADED):
             event = Event.LOAD_ORDERED
         else:
             event = Event.ORDER_NOT_ACCEPTED
-            self.roll_out.order_lost(order.key)
-        if answer is OrderAnswer.FENCED_OFF:
+            self.rollout.order_lost(order.key)
+        if answer is OrderResponse.FENCED_OFF:
             self.valid_until = 0.0
         self.log.write(
             event,
--- a/src/cassiaford/gateway/_peers.py
+++ b/src/cassiaford/gateway/_peers.py
@@ -13,12 +13,12 @@
 )
 from cassiaford.gateway._view import digest
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     FleetRates,
     PeerState,
     PeerTable,
     PlacedWork,
-    ServiceBook,
+    ServicePlacer,
 )
 from cassiaford.logs import Event
 
@@ -41,8 +41,8 @@
         self,
         state: PeerState,
         table: PeerTable,
-        engines: EngineBook,
-        services: ServiceBook,
+        engines: EnginePlacer,
+        services: ServicePlacer,
         rates: FleetRates,
         log: EventLog,
     ):
@@ -56,9 +56,11 @@
         self.unreachable: frozenset[int] = frozenset()
         self.on_unreachable: Callable[[frozenset[int]], None] = lambda keys: None
         self.revision = lambda: 0
-        self.on_newer: Callable[[PeerState, int], None] = lambda peer, revision: None
+        self.on_newer_peer: Callable[[PeerState, int], None] = lambda peer, revision: (
+            None
+        )
         self.peers_held: dict[str, frozenset[int]] = {}
-        self.on_held: Callable[[], None] = lambda: None
+        self.on_out_of_use: Callable[[], None] = lambda: None
         self.customers: dict[int, str] = {}
         self.transport: asyncio.DatagramTransport | None = None
         self._sequence = itertools.count(1)
@@ -91,31 +93,31 @@
         """Take in the customers' names, which reports hold by digest."""
         self.customers = {digest(name): name for name in names}
 
-    def hold(self, keys: frozenset[int]) -> None:
+    def set_out_of_use(self, keys: frozenset[int]) -> None:
         """Tell peers at once which engines this instance takes out of use."""
         self.held = keys
-        self.tell()
-        self.on_held()
+        self.send_report()
+        self.on_out_of_use()
 
-    def all_held(self) -> frozenset[int]:
+    def all_out_of_use(self) -> frozenset[int]:
         """Return the engines that any live instance has taken out of use."""
         live = {peer.name for peer in self.table.live(self._now())}
         held = [h for name, h in self.peers_held.items() if name in live]
         return self.held.union(*held)
 
-    def placed(self, prefill_s: float) -> None:
+    def record_placement(self, prefill_s: float) -> None:
         """Take note of work that was placed on an engine."""
         self._untold_s += prefill_s
         if self._untold_s >= TELL_AT_ONCE_S:
-            self.tell()
+            self.send_report()
 
     async def run(self) -> None:
         """Report until cancelled."""
         while True:
-            self.tell()
+            self.send_report()
             await asyncio.sleep(REPORT_S)
 
-    def tell(self) -> None:
+    def send_report(self) -> None:
         """Send one report, of what has changed or of everything."""
         if self.transport is None or self.transport.is_closing():
             return
@@ -123,7 +125,7 @@
         whole = next(self._rounds) % WHOLE_EVERY == 0
         work = self._work()
         spending = {digest(n): round(t) for n, t in self.rates.spent().items()}
-        placements = tuple(self.engines.homes.take_to_tell())
+        placements = tuple(self.engines.prefix_locations.take_to_tell())
         now_told = {
             "work": work,
             "spending": spending,
@@ -193,8 +195,8 @@
         self.table.hear(state, now)
         if report.read_speed:
             self.engines.speed.hear(name, report.read_speed)
-        self.engines.hear(name, report.work, report.whole, now)
-        self.engines.homes.hear(report.placements, now)
+        self.engines.update_from_peer(name, report.work, report.whole, now)
+        self.engines.prefix_locations.hear(report.placements, now)
         running = {} if report.whole else dict(self.services.peers.get(name, {}))
         running.update({key: w.running for key, w in report.work.items()})
         self.services.hear(name, running)
@@ -203,13 +205,13 @@
             for key, tokens in report.spending.items()
             if key in self.customers
         }
-        self.rates.hear(name, report.incarnation, spent, now)
+        self.rates.update_from_peer(name, report.incarnation, spent, now)
         if self.peers_held.get(name, frozenset()) != report.held:
             self.peers_held[name] = report.held
-            self.on_held()
+            self.on_out_of_use()
         self.on_unreachable(report.unreachable)
         if report.revision > self.revision():
-            self.on_newer(state, report.revision)
+            self.on_newer_peer(state, report.revision)
 
 
 def _plain_work(running):
--- a/src/cassiaford/gateway/_placer.py
+++ b/src/cassiaford/gateway/_placer.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass
 
 from cassiaford.gateway._configuration import Customer, EngineSpec, Route
-from cassiaford.gateway._messages import BackendServer, RequestFacts
+from cassiaford.gateway._messages import BackendServer, RequestMetadata
 from cassiaford.gateway._view import View
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     EngineView,
-    Generation,
+    GenerationRequest,
     Placement,
     PlainServer,
     Prefix,
     RunTimes,
-    ServerTrust,
-    ServiceBook,
+    ServerHealth,
+    ServicePlacer,
     WaitingPrompts,
 )
 
@@ -59,31 +59,31 @@
     def __init__(
         self,
         view: View,
-        engines: EngineBook,
-        services: ServiceBook,
-        trust: ServerTrust,
+        engines: EnginePlacer,
+        services: ServicePlacer,
+        health: ServerHealth,
         data_centre: str,
-        weights_due_s: float,
+        weights_grace_s: float,
         rng: random.Random,
     ):
         self.view = view
         self.engines = engines
         self.services = services
-        self.trust = trust
+        self.health = health
         self.data_centre = data_centre
-        self.weights_due_s = weights_due_s
+        self.weights_grace_s = weights_grace_s
         self.rng = rng
         self.run_times = RunTimes()
         self.waiting = WaitingPrompts()
-        self.held: frozenset[int] = frozenset()
-        self.stores_away: frozenset[str] = frozenset()
-        self.on_placed: Callable[[float], None] = lambda prefill_s: None
-        self.store_steady = lambda since: True
+        self.out_of_use: frozenset[int] = frozenset()
+        self.unreachable_stores: frozenset[str] = frozenset()
+        self.on_placement: Callable[[float], None] = lambda prefill_s: None
+        self.store_reachable_since = lambda since: True
 
     def choose(
         self,
         service: str,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         customer: Customer | None,
         tried: set[int],
         route: Route,
@@ -102,7 +102,7 @@
                 key,
                 server.slots,
                 server.data_centre == self.data_centre,
-                self.trust.cost_s(key, now),
+                self.health.cost_s(key, now),
             )
             for key, server in servers.items()
         ]
@@ -111,17 +111,17 @@
             return None
         return Choice(chosen.key, servers[chosen.key])
 
-    def waiting_s(self, service: str, instances: int, now: float) -> float:
+    def waiting_prefill_s(self, service: str, instances: int, now: float) -> float:
         """Return an engine's part of the work that waits at all instances."""
         if not self.waiting.prefill_s:
             return 0.0
-        engines = self._reachable(service, now).keys() - self.held
+        engines = self._reachable(service, now).keys() - self.out_of_use
         return self.waiting.per_engine_s(instances, len(engines))
 
-    def started(
+    def record_start(
         self,
         choice: Choice,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         customer: Customer | None,
         now: float,
     ) -> None:
@@ -131,41 +131,45 @@
         else:
             request = self._generation(facts, customer)
             self.engines.started(request, choice.placement, now)
-            self.on_placed(choice.placement.prefill_s)
+            self.on_placement(choice.placement.prefill_s)
 
-    def first_token(self, choice: Choice, facts: RequestFacts, now: float) -> None:
+    def record_first_token(
+        self, choice: Choice, facts: RequestMetadata, now: float
+    ) -> None:
         """Take note that an answer has begun."""
         if choice.placement is not None:
             self.engines.first_token(facts.attempt_id, choice.key, now)
 
-    def answered(self, route: Route, first_at: float, now: float) -> None:
+    def record_response(self, route: Route, first_at: float, now: float) -> None:
         """Take note of a whole answer that began at a time."""
         self.run_times.ended(route.name, now - first_at)
 
-    def ended(self, choice: Choice, facts: RequestFacts) -> None:
+    def record_end(self, choice: Choice, facts: RequestMetadata) -> None:
         """Take note that an attempt is over."""
         if choice.placement is None:
             self.services.ended(choice.key)
         else:
             self.engines.ended(facts.attempt_id, choice.key)
 
-    def turned_away(self, choice: Choice, facts: RequestFacts, now: float) -> None:
+    def record_rejection(
+        self, choice: Choice, facts: RequestMetadata, now: float
+    ) -> None:
         """Take note that a server did not start a request."""
         if choice.placement is not None:
             self.engines.turned_away(facts.attempt_id, choice.placement)
-        self.trust.shed(choice.key, now)
+        self.health.shed(choice.key, now)
 
-    def back_in(self, service: str, now: float) -> float:
+    def backoff_remaining_s(self, service: str, now: float) -> float:
         """Return the seconds until one of the servers is tried again."""
         servers = self.view.servers.get(service, {})
-        return min((self.trust.back_in(key, now) for key in servers), default=1.0)
+        return min((self.health.back_in(key, now) for key in servers), default=1.0)
 
     def explain(
-        self, service: str, facts: RequestFacts, tried: set[int], now: float
+        self, service: str, facts: RequestMetadata, tried: set[int], now: float
     ) -> str:
         """Return why no server of a service was chosen, for the log."""
         servers = self.view.servers.get(service, {})
-        away = sum(self.trust.away(key, now) for key in servers)
+        away = sum(self.health.away(key, now) for key in servers)
         overdue = sum(self._weights_overdue(s, facts, now) for s in servers.values())
         return (
             f"of {len(servers)} servers {len(tried & set(servers))} were tried,"
@@ -175,18 +179,18 @@
 
     def _reachable(self, service, now):
         servers = self.view.servers.get(service, {})
-        return {k: s for k, s in servers.items() if not self.trust.away(k, now)}
+        return {k: s for k, s in servers.items() if not self.health.away(k, now)}
 
     def _choose_engine(self, servers, facts, customer, route, now):
         spec = _engine_spec(self.view.configuration, servers)
-        free = {key: s for key, s in servers.items() if key not in self.held}
+        free = {key: s for key, s in servers.items() if key not in self.out_of_use}
         views = [
             EngineView(
                 key,
                 server.server_id,
                 server.slots,
                 spec.cache_tokens,
-                self.trust.cost_s(key, now)
+                self.health.cost_s(key, now)
                 + self._weights_cost(server, facts, route, now)
                 + self._distance_cost(server),
                 self._new_unit_cost(server, facts, now),
@@ -219,7 +223,7 @@
     def _prefix_store(self):
         """Return the address of a store for prefixes, the nearest if there are more."""
         stores = self.view.configuration.prefix_stores
-        usable = [s for s in stores if s.address not in self.stores_away]
+        usable = [s for s in stores if s.address not in self.unreachable_stores]
         usable.sort(key=lambda store: store.data_centre != self.data_centre)
         return usable[0].address if usable else None
 
@@ -240,14 +244,14 @@
 
     def _weights_overdue(self, server, facts, now):
         age = self._behind_for(server, facts, now)
-        return age > self.weights_due_s and self.store_steady(now - age)
+        return age > self.weights_grace_s and self.store_reachable_since(now - age)
 
     def _behind_for(self, server, facts, now):
         """Return for how long newer weights than a server's have been named."""
         version = server.versions.get(facts.model)
         if version is None:
             return 0.0
-        return self.view.named.behind_for(facts.model, version, now)
+        return self.view.named_versions.behind_for(facts.model, version, now)
 
     def _generation(self, facts, customer, target_s=0.0):
         scope = customer.name if customer is not None and customer.isolated else ""
@@ -258,7 +262,7 @@
             key = f"{key}|{part.part_id}"
             tokens += part.tokens
             levels.append(Prefix(key.encode(), tokens))
-        return Generation(
+        return GenerationRequest(
             request_id=facts.attempt_id,
             levels=tuple(levels),
             prompt_tokens=facts.prompt_tokens,
--- a/src/cassiaford/gateway/_prober.py
+++ b/src/cassiaford/gateway/_prober.py
@@ -6,7 +6,7 @@
 from cassiaford.gateway._messages import BackendServer
 from cassiaford.gateway._server_connection import ConnectionPool, ExchangeError
 from cassiaford.gateway._view import View, server_key
-from cassiaford.gateway.policy import ServerTrust
+from cassiaford.gateway.policy import ServerHealth
 from cassiaford.logs import Event
 
 # A backend server in the same region accepts a connection within milliseconds;
@@ -26,7 +26,7 @@
         self.view = view
         self.pool = pool
         self.log = log
-        self.away: frozenset[str] = frozenset()
+        self.unreachable: frozenset[str] = frozenset()
 
     async def run(self) -> None:
         """Try every store, again and again, until cancelled."""
@@ -47,18 +47,18 @@
         return True
 
     def _take_in(self, away):
-        for address in away - self.away:
+        for address in away - self.unreachable:
             self.log.write(Event.PREFIX_STORE_LOST, address=address)
-        for address in self.away - away:
-            self.log.write(Event.PREFIX_STORE_BACK, address=address)
-        self.away = away
+        for address in self.unreachable - away:
+            self.log.write(Event.PREFIX_STORE_RECOVERED, address=address)
+        self.unreachable = away
 
 
 class ServerProber:
     """Finds out when a server can be reached again, so that no request has to."""
 
     def __init__(
-        self, view: View, trust: ServerTrust, pool: ConnectionPool, log: EventLog
+        self, view: View, trust: ServerHealth, pool: ConnectionPool, log: EventLog
     ):
         self.view = view
         self.trust = trust
@@ -72,15 +72,15 @@
         """The servers that this instance cannot reach, by key."""
         return frozenset(self.trust.unreachable_servers)
 
-    def lost(self, server: BackendServer) -> None:
+    def record_unreachable(self, server: BackendServer) -> None:
         """Take note that a server could not be reached; try it until it can."""
         key = server_key(server)
         self.trust.unreachable(key, self._now())
-        self.pool.forget(server.address)
+        self.pool.close_idle(server.address)
         self.log.write(Event.SERVER_SUSPECTED, server=server.server_id)
         self._start(key)
 
-    def heard(self, keys: frozenset[int]) -> None:
+    def probe_reported(self, keys: frozenset[int]) -> None:
         """Try servers that a peer cannot reach, before a request has to."""
         for key in keys - self.trust.unreachable_servers:
             if not self.trust.answered_lately(key, self._now()):
@@ -101,7 +101,7 @@
                 await asyncio.sleep(pause_s)
                 pause_s = min(2 * pause_s, MAX_PAUSE_S)
                 continue
-            self.pool.add(server.address, connection)
+            self.pool.add_idle(server.address, connection)
             if key in self.trust.unreachable_servers:
                 self.log.write(Event.SERVER_REACHABLE, server=server.server_id)
             self.trust.reachable(key)
--- a/src/cassiaford/gateway/_registration.py
+++ b/src/cassiaford/gateway/_registration.py
@@ -65,19 +65,19 @@
         self.rng = rng
         self.sync = sync
         self.lease = 0
-        self.present = False
+        self.registered = False
 
     async def run(self) -> None:
         """Register, and renew the lease until cancelled."""
         while True:
             try:
-                if self.present:
+                if self.registered:
                     await self.store.renew_lease(self.lease)
                 else:
                     await self._register()
                 self.sync.answered(CALLER)
             except LeaseEndedError:
-                self.present = False
+                self.registered = False
                 continue
             except StoreError as error:
                 # An entry that lapsed is written again with the next turn.
@@ -86,9 +86,9 @@
 
     async def withdraw(self) -> None:
         """Remove the entry, so that peers name this instance no more."""
-        if not self.present:
+        if not self.registered:
             return
-        self.present = False
+        self.registered = False
         try:
             await self.store.end_lease(self.lease)
         except StoreError as error:
@@ -99,4 +99,4 @@
         self.lease = await self.store.grant_lease(LEASE_S)
         write = Write(self.key, encode_entry(self.state), self.lease)
         await self.store.transact((), (write,))
-        self.present = True
+        self.registered = True
--- a/src/cassiaford/gateway/_server_connection.py
+++ b/src/cassiaford/gateway/_server_connection.py
@@ -95,7 +95,7 @@
         except httptools.HttpParserError:
             self.usable = False
             if self._in_exchange and not self._complete:
-                self._fail(Failure.BROKEN_ANSWER)
+                self._fail(Failure.INVALID_RESPONSE)
                 self.transport.abort()
 
     def eof_received(self):
@@ -111,7 +111,9 @@
         self.usable = False
         if self._in_exchange and not self._complete:
             started = self._head is not None
-            self._fail(Failure.SHORT_ANSWER if started else Failure.RESET_BEFORE_ANSWER)
+            self._fail(
+                Failure.TRUNCATED_RESPONSE if started else Failure.RESET_BEFORE_RESPONSE
+            )
         self._wake()
 
     # The parser's events.
@@ -330,12 +332,12 @@
         if connection.finish():
             self.idle.setdefault(address, []).append(connection)
 
-    def add(self, address: str, connection: ServerConnection) -> None:
+    def add_idle(self, address: str, connection: ServerConnection) -> None:
         """Keep a new connection for the next exchange."""
         connection.idle_until = asyncio.get_running_loop().time() + DEFAULT_IDLE_S
         self.idle.setdefault(address, []).append(connection)
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the kept connections to an address."""
         for connection in self.idle.pop(address, ()):
             connection.close()
@@ -343,7 +345,7 @@
     def close(self) -> None:
         """Close every kept connection."""
         for address in tuple(self.idle):
-            self.forget(address)
+            self.close_idle(address)
 
     def sweep(self) -> None:
         """Close the connections that were kept for long enough."""
--- a/src/cassiaford/gateway/_settings.py
+++ b/src/cassiaford/gateway/_settings.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class ResendLimits:
+class RetryLimits:
     """How often the fleet may resend; see `SendBudget`."""
 
     ratio: float
@@ -43,7 +43,7 @@
     data_centre: str
     addresses: GatewayAddresses
     store_address: str
-    resends: ResendLimits
+    retry_limits: RetryLimits
     rate_window_s: float
     weights_within_s: float
     drain_s: float
--- a/src/cassiaford/gateway/_tasks.py
+++ b/src/cassiaford/gateway/_tasks.py
@@ -13,12 +13,12 @@
 MOST_CAUSE = 2000
 
 
-async def keep_going(part: Callable[[], Awaitable[None]], log: EventLog) -> None:
+async def run_with_restarts(part: Callable[[], Awaitable[None]], log: EventLog) -> None:
     """Run a part; one that fails is logged and started again."""
     while True:
         try:
             await part()
         except Exception as error:
             cause = "".join(traceback.format_exception(error))
-            log.write(Event.THREAD_FAILED, cause=cause[-MOST_CAUSE:])
+            log.write(Event.BACKGROUND_TASK_FAILED, cause=cause[-MOST_CAUSE:])
         await asyncio.sleep(RESTART_AFTER_S)
--- a/src/cassiaford/gateway/_view.py
+++ b/src/cassiaford/gateway/_view.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from cassiaford.gateway._configuration import Configuration, RouteTable
-from cassiaford.gateway._dialect import MalformedError, Records
+from cassiaford.gateway._dialect import MalformedError, RecordDecoder
 from cassiaford.gateway._event_log import EventLog
 from cassiaford.gateway._messages import BackendServer
 from cassiaford.gateway._mirror import MirrorListener
@@ -28,7 +28,7 @@
 class View(MirrorListener):
     """The configuration in force, the backend servers, and named versions."""
 
-    def __init__(self, records: Records, rates: FleetRates, log: EventLog):
+    def __init__(self, records: RecordDecoder, rates: FleetRates, log: EventLog):
         self.records = records
         self.rates = rates
         self.log = log
@@ -37,11 +37,11 @@
         self.registry = ServerRegistry()
         self.servers: dict[str, dict[int, BackendServer]] = {}
         self.replaced_keys: set[int] = set()
-        self.named = NamedVersions()
-        self.on_weights: Callable[[int], None] = lambda key: None
-        self.on_peer: Callable[[Change], None] = lambda change: None
-        self.on_servers: Callable[[], None] = lambda: None
-        self.on_configuration: Callable[[], None] = lambda: None
+        self.named_versions = NamedVersions()
+        self.on_versions_changed: Callable[[int], None] = lambda key: None
+        self.on_own_key_changed: Callable[[Change], None] = lambda change: None
+        self.on_servers_changed: Callable[[], None] = lambda: None
+        self.on_configuration_changed: Callable[[], None] = lambda: None
         self.now = asyncio.get_running_loop().time
 
     def changed(self, change: Change) -> None:
@@ -64,7 +64,7 @@
         if self.registry.expire(self.now()):
             self._index_servers()
 
-    def replaced(self, server: BackendServer) -> None:
+    def record_replacement(self, server: BackendServer) -> None:
         """Take in that another server answers at a server's address."""
         key = server_key(server)
         if key not in self.replaced_keys:
@@ -92,7 +92,7 @@
         elif change.key.startswith(records.servers_prefix):
             self._server_changed(change)
         else:
-            self.on_peer(change)
+            self.on_own_key_changed(change)
 
     def _configure(self, configuration):
         known = self.configuration
@@ -112,10 +112,10 @@
             routes=len(configuration.routes),
             customers=len(configuration.customers),
         )
-        self.on_configuration()
+        self.on_configuration_changed()
 
     def _name_version(self, model, version):
-        if self.named.name(model, version, self.now()):
+        if self.named_versions.name(model, version, self.now()):
             self.log.write(Event.VERSION_NAMED, model=model, version=version)
 
     def _server_changed(self, change):
@@ -136,7 +136,7 @@
             if known == server:
                 return
             if known is not None and known.versions != server.versions:
-                self.on_weights(server_key(server))
+                self.on_versions_changed(server_key(server))
                 self._log_loaded(server)
             else:
                 self._log_server(known, server)
@@ -168,7 +168,7 @@
                 servers.setdefault(server.service, {})[key] = server
         self.replaced_keys &= known
         self.servers = servers
-        self.on_servers()
+        self.on_servers_changed()
 
 
 def _newest_by_address(servers):
@@ -180,6 +180,6 @@
     newest = {}
     for server in servers:
         known = newest.get(server.address)
-        if known is None or server.born >= known.born:
+        if known is None or server.started_at >= known.started_at:
             newest[server.address] = server
     return newest.values()
--- a/src/cassiaford/gateway/_world.py
+++ b/src/cassiaford/gateway/_world.py
@@ -2,18 +2,23 @@
 
 from dataclasses import dataclass
 
-from cassiaford.gateway._dialect import Dialect, Directory, ReadinessProbe, Records
+from cassiaford.gateway._dialect import (
+    Dialect,
+    Directory,
+    ReadinessProbe,
+    RecordDecoder,
+)
 from cassiaford.gateway._engine_control import EngineControl
 from cassiaford.gateway._server_connection import ConnectionPool
 from cassiaford.gateway._store import SharedStore
 
 
 @dataclass
-class GatewayWorld:
+class PlatformAdapter:
     """Translations and connections."""
 
     dialect: Dialect
-    records: Records
+    records: RecordDecoder
     directory: Directory
     probe: ReadinessProbe
     store: SharedStore
--- a/src/cassiaford/gateway/policy/__init__.py
+++ b/src/cassiaford/gateway/policy/__init__.py
@@ -3,25 +3,25 @@
 Times are seconds on a monotonic clock that the caller reads.
 """
 
-from cassiaford.gateway.policy._engine_book import EngineBook, EngineView, Placement
+from cassiaford.gateway.policy._engine_book import EnginePlacer, EngineView, Placement
 from cassiaford.gateway.policy._engine_queue import PlacedWork
 from cassiaford.gateway.policy._fleet_rates import FleetRates, Limit
-from cassiaford.gateway.policy._generation import Generation, Prefix
+from cassiaford.gateway.policy._generation import GenerationRequest, Prefix
 from cassiaford.gateway.policy._late_requests import WaitingPrompts, should_wait
 from cassiaford.gateway.policy._named_versions import NamedVersions
 from cassiaford.gateway.policy._peer_table import PeerState, PeerTable
 from cassiaford.gateway.policy._registry import ServerRegistry
-from cassiaford.gateway.policy._roll_out import GiveOrder, RollOut, RollOutServer
+from cassiaford.gateway.policy._roll_out import GiveOrder, Rollout, RollOutServer
 from cassiaford.gateway.policy._run_times import RunTimes
-from cassiaford.gateway.policy._send_budget import SendBudget
-from cassiaford.gateway.policy._server_trust import ServerTrust
-from cassiaford.gateway.policy._service_book import PlainServer, ServiceBook
+from cassiaford.gateway.policy._send_budget import RetryBudget
+from cassiaford.gateway.policy._server_trust import ServerHealth
+from cassiaford.gateway.policy._service_book import PlainServer, ServicePlacer
 
 __all__ = [
-    "EngineBook",
+    "EnginePlacer",
     "EngineView",
     "FleetRates",
-    "Generation",
+    "GenerationRequest",
     "GiveOrder",
     "Limit",
     "NamedVersions",
@@ -31,13 +31,13 @@
     "Placement",
     "PlainServer",
     "Prefix",
-    "RollOut",
+    "Rollout",
     "RollOutServer",
     "RunTimes",
-    "SendBudget",
+    "RetryBudget",
     "ServerRegistry",
-    "ServerTrust",
-    "ServiceBook",
+    "ServerHealth",
+    "ServicePlacer",
     "WaitingPrompts",
     "should_wait",
 ]
--- a/src/cassiaford/gateway/policy/_engine_book.py
+++ b/src/cassiaford/gateway/policy/_engine_book.py
@@ -21,7 +21,7 @@
     EngineQueue,
     PlacedWork,
 )
-from cassiaford.gateway.policy._generation import Generation
+from cassiaford.gateway.policy._generation import GenerationRequest
 from cassiaford.gateway.policy._reading_speed import ReadingSpeed
 from cassiaford.gateway.policy._unit_homes import UnitHomes
 
@@ -87,16 +87,16 @@
     save: bool = False
 
 
-class EngineBook:
+class EnginePlacer:
     """Knows what the fleet has placed on each engine, and places requests.
 
     Examples
     --------
-    >>> book = EngineBook()
+    >>> book = EnginePlacer()
     >>> from cassiaford.gateway.policy import Prefix
     >>> prefix = Prefix(b"binder", 5000)
     >>> engines = [EngineView(name, name, 8, 100_000) for name in "ab"]
-    >>> request = Generation("r1", (prefix,), 6000, 40)
+    >>> request = GenerationRequest("r1", (prefix,), 6000, 40)
     >>> first = book.place(request, engines, 0.0, random.Random(1))
     >>> second = book.place(request, engines, 0.0, random.Random(2))
     >>> first.engine == second.engine
@@ -105,7 +105,7 @@
 
     def __init__(self):
         self.engines: dict[Hashable, EngineQueue] = {}
-        self.homes = UnitHomes()
+        self.prefix_locations = UnitHomes()
         self.speed = ReadingSpeed()
         # Peers whose work is known in full, so that a first mention is new work.
         self._known_peers: set[str] = set()
@@ -114,7 +114,7 @@
 
     def place(
         self,
-        request: Generation,
+        request: GenerationRequest,
         engines: Sequence[EngineView],
         now: float,
         rng: random.Random,
@@ -130,7 +130,7 @@
             versions = {view.key: view.version for view in engines}
         homes = {
             key: (versions[key], used_at)
-            for key, used_at in self.homes.engines(unit, now).items()
+            for key, used_at in self.prefix_locations.engines(unit, now).items()
             if key in versions
         }
         ranked = sorted(engines, key=lambda view: _score(unit, view.name))
@@ -142,15 +142,17 @@
                 best, least = placement, cost
         return best
 
-    def started(self, request: Generation, placement: Placement, now: float) -> None:
+    def started(
+        self, request: GenerationRequest, placement: Placement, now: float
+    ) -> None:
         """Take note of a request that was sent."""
         self._note_work(placement.read_tokens, now)
         tokens = request.prompt_tokens + request.output_tokens
         engine = self._engine(placement.engine.key)
         engine.send(request.request_id, tokens, placement.read_tokens, now)
-        self.homes.placed(request, placement.engine.key, now)
+        self.prefix_locations.placed(request, placement.engine.key, now)
         if placement.save:
-            self.homes.saved(request, now)
+            self.prefix_locations.saved(request, now)
 
     def first_token(self, request_id: str, key: Hashable, now: float) -> None:
         """Learn from an answer that begins how far its engine is."""
@@ -170,7 +172,7 @@
         if engine is not None:
             engine.take_back(request_id)
 
-    def hear(
+    def update_from_peer(
         self, peer: str, work: dict[Hashable, PlacedWork], whole: bool, now: float
     ) -> None:
         """Take in what a peer has placed, on all engines or those that changed."""
@@ -183,18 +185,18 @@
                 if key not in work:
                     engine.peers.pop(peer, None)
 
-    def forget_peer(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Forget the requests of a peer that is gone; its work still counts."""
         self._known_peers.discard(peer)
         self.speed.forget_peer(peer)
         for engine in self.engines.values():
             engine.peers.pop(peer, None)
 
-    def emptied(self, key: Hashable) -> None:
+    def clear_cached_prefixes(self, key: Hashable) -> None:
         """Forget what an engine kept, after new weights or a restart."""
-        self.homes.emptied(key)
+        self.prefix_locations.emptied(key)
 
-    def keep(self, keys: set[Hashable]) -> None:
+    def retain(self, keys: set[Hashable]) -> None:
         """Forget all engines but these and those that still run requests."""
         for key in set(self.engines) - keys:
             if not self.engines[key].own:
@@ -208,7 +210,7 @@
             if engine.own_sent_tokens or engine.own
         }
 
-    def tokens(self, key: Hashable) -> int:
+    def running_tokens(self, key: Hashable) -> int:
         """Return the tokens of the requests that the fleet runs on an engine."""
         engine = self.engines.get(key)
         return engine.tokens if engine is not None else 0
@@ -250,7 +252,7 @@
         running = engine.running
         if running and engine.tokens + tokens > view.memory_tokens * MEMORY_SHARE:
             return 0.0, None
-        kept = self.homes.kept(request, view.key, homes, now)
+        kept = self.prefix_locations.kept(request, view.key, homes, now)
         lacking = request.shared_tokens - kept
         source = _source(view, homes) if lacking else None
         speed = self.speed.tokens_per_s
@@ -274,7 +276,7 @@
             moved = fetch_s < reread_s
             cost += (COPY_WEIGHT if moved else REREAD_WEIGHT) * reread_s
         cost += FULL_BATCH_COST_S * running / view.slots
-        save = self.homes.unsaved(request, now)
+        save = self.prefix_locations.unsaved(request, now)
         return cost, Placement(
             view, first_s, prefill_s, prefill_s * speed, queue_s, source, save
         )
--- a/src/cassiaford/gateway/policy/_fleet_rates.py
+++ b/src/cassiaford/gateway/policy/_fleet_rates.py
@@ -110,7 +110,7 @@
     >>> rates.configure({"academy": Limit(100.0, 400.0)}, now=0.0)
     >>> rates.charge("academy", 100, 0.0), rates.charge("academy", 60, 0.0)
     (True, False)
-    >>> round(rates.return_after("academy", 60, 0.0), 2)
+    >>> round(rates.retry_after_s("academy", 60, 0.0), 2)
     0.64
     """
 
@@ -144,7 +144,7 @@
         for peer in set(self.heard_at) - self.members:
             del self.heard_at[peer]
 
-    def hear(
+    def update_from_peer(
         self, peer: str, incarnation: int, spent: dict[str, float], now: float
     ) -> None:
         """Take in what a peer has spent since its start, by customer."""
@@ -179,7 +179,7 @@
             self._advance(bucket, now)
             bucket.refund(tokens)
 
-    def return_after(self, customer: str, tokens: float, now: float) -> float:
+    def retry_after_s(self, customer: str, tokens: float, now: float) -> float:
         """Return the seconds after which a refused request should come back.
 
         Requests refused one after the other are told later and later times,
--- a/src/cassiaford/gateway/policy/_generation.py
+++ b/src/cassiaford/gateway/policy/_generation.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Generation:
+class GenerationRequest:
     """A request as placement sees it.
 
     `levels` are its shared prefixes, from the shortest to the longest, within
--- a/src/cassiaford/gateway/policy/_roll_out.py
+++ b/src/cassiaford/gateway/policy/_roll_out.py
@@ -65,13 +65,13 @@
     version: int = 0
 
 
-class RollOut:
+class Rollout:
     """Plans loads for the one instance that gives orders.
 
     Examples
     --------
     >>> named = NamedVersions()
-    >>> roll_out = RollOut(named, within_s=6.0)
+    >>> roll_out = Rollout(named, deadline_s=6.0)
     >>> named.name("m", 2, now=0.0)
     True
     >>> engines = [RollOutServer(name, "m", 1, 0) for name in "abc"]
@@ -81,9 +81,9 @@
     [GiveOrder(key='a', model='m', version=2)]
     """
 
-    def __init__(self, named: NamedVersions, within_s: float):
+    def __init__(self, named: NamedVersions, deadline_s: float):
         self.named = named
-        self.within_s = within_s
+        self.deadline_s = deadline_s
         self.turns: dict[Hashable, _Turn] = {}
         self.demand = 0.0
 
@@ -142,6 +142,6 @@
         spare = count - math.ceil(self.demand / MOST_BUSY)
         usual = max(1, min(spare, math.ceil(count * AT_ONCE_SHARE)))
         behind_s = self.named.behind_for(server.model, server.version, now)
-        if behind_s > self.within_s * URGENT_SHARE:
+        if behind_s > self.deadline_s * URGENT_SHARE:
             return URGENT_FACTOR * usual
         return usual
--- a/src/cassiaford/gateway/policy/_send_budget.py
+++ b/src/cassiaford/gateway/policy/_send_budget.py
@@ -6,7 +6,7 @@
 CAUTION = 0.8
 
 
-class SendBudget:
+class RetryBudget:
     """Allows resends as a share of recent requests, for one service.
 
     The fleet may resend `ratio` times the requests of a window, and `slack`
@@ -15,8 +15,8 @@
 
     Examples
     --------
-    >>> budget = SendBudget(ratio=0.0, slack=5.0, window_s=10.0)
-    >>> [budget.resend(0.0, instances=2) for _ in range(3)]
+    >>> budget = RetryBudget(ratio=0.0, slack=5.0, window_s=10.0)
+    >>> [budget.take(0.0, instances=2) for _ in range(3)]
     [True, True, False]
     """
 
@@ -27,7 +27,7 @@
         self.requests: collections.deque[float] = collections.deque()
         self.resends: collections.deque[float] = collections.deque()
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Take note of a request for the service."""
         self._expire(now)
         self.requests.append(now)
@@ -42,7 +42,7 @@
         """Return whether one more resend is within the budget."""
         return self.left(now, instances) >= 1
 
-    def resend(self, now: float, instances: int) -> bool:
+    def take(self, now: float, instances: int) -> bool:
         """Take one resend from the budget; return whether there was one."""
         allowed = self.allows(now, instances)
         if allowed:
--- a/src/cassiaford/gateway/policy/_server_trust.py
+++ b/src/cassiaford/gateway/policy/_server_trust.py
@@ -30,12 +30,12 @@
     answered_at: float | None = None
 
 
-class ServerTrust:
+class ServerHealth:
     """Remembers failures of backend servers, by incarnation.
 
     Examples
     --------
-    >>> trust = ServerTrust()
+    >>> trust = ServerHealth()
     >>> trust.unreachable("engine-1", 0.0)
     >>> trust.away("engine-1", 0.1), trust.away("engine-1", 0.5)
     (True, False)
@@ -45,7 +45,7 @@
         self.records: dict[Hashable, _Record] = {}
         self.unreachable_servers: set[Hashable] = set()
 
-    def answered(self, server: Hashable, now: float) -> None:
+    def record_success(self, server: Hashable, now: float) -> None:
         """Take note of a complete answer."""
         record = self._record(server, now)
         record.answered_at = now
@@ -77,7 +77,7 @@
         record.away_until = now + min(backoff, MAX_BACKOFF_S)
         self._count(record, 1.0, now)
 
-    def failed(self, server: Hashable, now: float) -> None:
+    def record_failure(self, server: Hashable, now: float) -> None:
         """Take note of an answer that was broken off or says a failure."""
         self._count(self._record(server, now), 1.0, now)
 
@@ -107,7 +107,7 @@
         age = now - record.updated_at
         return FAILURE_COST_S * record.failing * 0.5 ** (age / FORGET_HALF_LIFE_S)
 
-    def keep(self, servers: set[Hashable]) -> None:
+    def retain(self, servers: set[Hashable]) -> None:
         """Forget all servers but these."""
         for server in set(self.records) - servers:
             del self.records[server]
--- a/src/cassiaford/gateway/policy/_service_book.py
+++ b/src/cassiaford/gateway/policy/_service_book.py
@@ -19,12 +19,12 @@
     cost: float = 0.0
 
 
-class ServiceBook:
+class ServicePlacer:
     """Counts requests in flight to plain services, its own and its peers'.
 
     Examples
     --------
-    >>> book = ServiceBook()
+    >>> book = ServicePlacer()
     >>> servers = [PlainServer("a", 6, True), PlainServer("b", 6, True)]
     >>> book.started("a")
     >>> book.choose(servers, random.Random(1)).key
@@ -51,7 +51,7 @@
         """Take in a peer's requests in flight."""
         self.peers[peer] = running
 
-    def forget_peer(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Forget a peer that is gone."""
         self.peers.pop(peer, None)
 
--- a/src/cassiaford/gateway/policy/_unit_homes.py
+++ b/src/cassiaford/gateway/policy/_unit_homes.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from cassiaford.gateway.policy._generation import Generation
+from cassiaford.gateway.policy._generation import GenerationRequest
 
 # An engine is taken to hold a unit for this long after its last use there.
 KNOWN_FOR_S = 10.0
@@ -45,7 +45,7 @@
         known = self.units.get(_digest(unit), {})
         return {key: at for key, at in known.items() if now - at < KNOWN_FOR_S}
 
-    def unsaved(self, request: Generation, now: float) -> bool:
+    def unsaved(self, request: GenerationRequest, now: float) -> bool:
         """Return whether a unit is to be kept outside the engines with this request.
 
         The whole prompt is kept, so one whose own part is long would push out
@@ -58,7 +58,7 @@
 
     def kept(
         self,
-        request: Generation,
+        request: GenerationRequest,
         key: Hashable,
         homes: Mapping[Hashable, object],
         now: float,
@@ -73,7 +73,7 @@
         recent = used_at is not None and now - used_at < KNOWN_FOR_S
         return first.tokens if recent else 0
 
-    def placed(self, request: Generation, key: Hashable, now: float) -> None:
+    def placed(self, request: GenerationRequest, key: Hashable, now: float) -> None:
         """Take note of a placement, and tell peers what is new to them."""
         if not request.levels:
             return
@@ -84,7 +84,7 @@
             self.told_at[unit, key] = now
             self.to_tell.append((unit, key))
 
-    def saved(self, request: Generation, now: float) -> None:
+    def saved(self, request: GenerationRequest, now: float) -> None:
         """Take note that a request's prompt is being saved."""
         self.saved_at[_digest(request.unit)] = now
 
--- a/src/cassiaford/instance/_crashes.py
+++ b/src/cassiaford/instance/_crashes.py
@@ -5,12 +5,12 @@
 from cassiaford.engines import CacheEvents, EngineObserver, LoadReport
 from cassiaford.fleet import SuspectRegistry
 from cassiaford.instance._fingerprint import fingerprint
-from cassiaford.pipeline import AdmittedRequest, SuspectRegister
+from cassiaford.pipeline import AdmittedRequest, SuspectPolicy
 from cassiaford.policy import servers_for_suspects
 from cassiaford.verdict import Refusal, RefusalReason, Verdict
 
 
-class CrashWatch(SuspectRegister, EngineObserver):
+class CrashMonitor(SuspectPolicy, EngineObserver):
     """Names the requests that were running on a server when it crashed.
 
     It stands between the poller and the dispatcher to learn the incarnations
@@ -40,14 +40,14 @@
         """Take note that a server's connection broke while it ran a request."""
         # Reported at once, since the next attempt may follow within
         # milliseconds; reports of one incarnation's crash add up.
-        self.registry.server_crashed(
+        self.registry.record_crash(
             server, (fingerprint(request),), self.incarnations.get(server, "")
         )
 
     def completed(self, request: AdmittedRequest) -> None:
         """Clear a request that has run to its end."""
         if self.registry.has_suspects():
-            self.registry.completed(fingerprint(request))
+            self.registry.record_completion(fingerprint(request))
 
     def avoided(
         self, request: AdmittedRequest, servers: tuple[str, ...]
--- a/src/cassiaford/instance/_handler.py
+++ b/src/cassiaford/instance/_handler.py
@@ -6,7 +6,7 @@
 from cassiaford.instance._http import Exchange
 from cassiaford.instance._local import LocalEndpoints
 from cassiaford.logs import Event
-from cassiaford.metrics import Metrics, Quantity
+from cassiaford.metrics import DurationMetric, Metrics
 from cassiaford.pipeline import (
     AdmittedRequest,
     AuthenticatedRequest,
@@ -51,7 +51,9 @@
         except Exception as error:
             # A fault of ours must not reach the caller as a broken connection.
             self.journal.record(
-                Event.THREAD_FAILED, error=type(error).__name__, text=str(error)[:300]
+                Event.BACKGROUND_TASK_FAILED,
+                error=type(error).__name__,
+                text=str(error)[:300],
             )
             if not exchange.answered:
                 refusal = refuse(RefusalReason.INTERNAL, "internal error")
@@ -82,7 +84,7 @@
         refusal = message
         if not isinstance(message, Refusal):
             self.metrics.observe(
-                Quantity.INTAKE_TIME, time.monotonic() - caller.received_at
+                DurationMetric.INTAKE_TIME, time.monotonic() - caller.received_at
             )
             refusal = self.accept(message, exchange)
         if refusal is not None:
--- a/src/cassiaford/instance/_instance.py
+++ b/src/cassiaford/instance/_instance.py
@@ -6,15 +6,15 @@
 
 from cassiaford.engines import create_engine_control, create_poller
 from cassiaford.fleet import (
-    SentPrompts,
-    create_claims,
+    SentPromptExchange,
+    create_claim_registry,
     create_fleet,
     create_order_runner,
     create_rate_limiter,
-    create_suspects,
+    create_suspect_registry,
 )
 from cassiaford.instance._acceptance import Acceptor
-from cassiaford.instance._crashes import CrashWatch
+from cassiaford.instance._crashes import CrashMonitor
 from cassiaford.instance._handler import RequestHandler
 from cassiaford.instance._http import CallerServer
 from cassiaford.instance._local import InstanceView, LocalEndpoints
@@ -88,7 +88,7 @@
 
     def entries(self, customer, data_centre):
         """Return the entry instances for a customer, best first."""
-        return self.fleet.entries(customer, data_centre)
+        return self.fleet.entry_instances(customer, data_centre)
 
     def start(self) -> None:
         """Start all parts; return when the instance is ready to serve."""
@@ -125,7 +125,7 @@
         self.journal.record(event, cut=cut)
         return cut
 
-    def cut_short(self) -> None:
+    def abort_drain(self) -> None:
         """End the wait of a graceful shutdown, cutting what still runs."""
         self.stopping.set()
         self.dispatcher.end_drain()
@@ -169,14 +169,14 @@
             self.incarnation,
             time.monotonic,
         )
-        self.claims = create_claims(
+        self.claims = create_claim_registry(
             key_value,
             self.journal,
             settings.instance,
             self.incarnation,
             transport=self.fleet.transport,
         )
-        self.suspects = create_suspects(
+        self.suspects = create_suspect_registry(
             self.fleet.transport, self.journal, settings.instance
         )
         self.limiter = create_rate_limiter(
@@ -200,7 +200,7 @@
 
     def _create_dispatch(self):
         settings = self.settings
-        self.crashes = CrashWatch(self.suspects)
+        self.crashes = CrashMonitor(self.suspects)
         self.dispatcher = create_dispatcher(
             settings.limits,
             self._current,
@@ -211,11 +211,11 @@
             queue=create_fair_queue(settings.limits.queue_length),
             versions=self.orders,
         )
-        self.sent_prompts = SentPrompts(
+        self.sent_prompts = SentPromptExchange(
             self.fleet.transport, self.journal, settings.instance
         )
-        self.sent_prompts.on_heard = self.dispatcher.observe_peer
-        self.dispatcher.waiting.on_sent = self.sent_prompts.sent
+        self.sent_prompts.on_peer_prompt = self.dispatcher.observe_peer_prompt
+        self.dispatcher.waiting.on_sent = self.sent_prompts.broadcast
         self.crashes.observer = self.dispatcher
         self.orders.observer = self.crashes
         self.poller = create_poller(
@@ -225,7 +225,7 @@
             self.journal,
             POLL_INTERVAL_S,
         )
-        self.orders.poll_interval_s = self.poller.interval_now_s
+        self.orders.poll_interval_s = self.poller.poll_interval_s
 
     def _create_front(self):
         settings = self.settings
@@ -256,24 +256,24 @@
         return self.fleet.configuration.current
 
     def _is_fresh(self):
-        return self.fleet.configuration.fresh(time.monotonic())
+        return self.fleet.configuration.is_fresh(time.monotonic())
 
     def _configuration_changed(self, old, new):
         self.journal.revision = new.revision
         self.limiter.configure(new)
 
     def _wait_until_ready(self):
-        while not self.fleet.configuration.ready() and not self.stopping.is_set():
+        while not self.fleet.configuration.is_ready() and not self.stopping.is_set():
             self.stopping.wait(READY_CHECK_S)
         # A request that comes before the other holders of rate shares are
         # known would be refused, though its customer has tokens.
         patience = time.monotonic() + SHARES_WAIT_S
-        while not self.limiter.in_touch() and time.monotonic() < patience:
+        while not self.limiter.is_connected() and time.monotonic() < patience:
             if self.stopping.wait(READY_CHECK_S):
                 return
 
     def _server_failed(self, text):
-        self.journal.record(Event.THREAD_FAILED, part="http", text=text)
+        self.journal.record(Event.BACKGROUND_TASK_FAILED, part="http", text=text)
 
 
 def _error_of(step):
--- a/src/cassiaford/instance/_local.py
+++ b/src/cassiaford/instance/_local.py
@@ -10,7 +10,7 @@
 from cassiaford.fleet import Member
 from cassiaford.metrics import Metrics
 from cassiaford.pipeline import AuthenticateFilter, CallerRequest, Header
-from cassiaford.timeline import Journal, gathered, record_document
+from cassiaford.timeline import Journal, record_document, to_gathered_record
 from cassiaford.verdict import Refusal, RefusalReason, refuse
 
 JSON_TYPE = "application/json"
@@ -172,7 +172,7 @@
 
     def _timeline(self, query):
         records = [
-            record_document(gathered(record))
+            record_document(to_gathered_record(record))
             for record in self.journal.snapshot()
             if _matches(record, query)
         ]
--- a/src/cassiaford/keyvalue/_http.py
+++ b/src/cassiaford/keyvalue/_http.py
@@ -11,7 +11,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from cassiaford._json_calls import Answer, AnswerLostError, CallError, JsonCaller
+from cassiaford._json_calls import Answer, CallError, JsonClient, ResponseLostError
 from cassiaford.keyvalue._service import (
     CasResult,
     Entry,
@@ -30,18 +30,18 @@
 
 def connect_key_value(settings: KeyValueSettings) -> KeyValueService:
     """Return a client of the key-value service; it connects when first used."""
-    return HttpKeyValueService(settings.address, JsonCaller(settings.timeout_s))
+    return HttpKeyValueService(settings.address, JsonClient(settings.timeout_s))
 
 
 def connect_instance_list(settings: KeyValueSettings) -> InstanceList:
     """Return a client of the list of instances; it connects when first used."""
-    return HttpInstanceList(settings.list_address, JsonCaller(settings.timeout_s))
+    return HttpInstanceList(settings.list_address, JsonClient(settings.timeout_s))
 
 
 class HttpKeyValueService(KeyValueService):
     """The key-value service behind its HTTP interface."""
 
-    def __init__(self, address: str, caller: JsonCaller):
+    def __init__(self, address: str, caller: JsonClient):
         self.address = address
         self.caller = caller
 
@@ -105,7 +105,7 @@
 class HttpInstanceList(InstanceList):
     """The list of instances behind its HTTP interface."""
 
-    def __init__(self, address: str, caller: JsonCaller):
+    def __init__(self, address: str, caller: JsonClient):
         self.address = address
         self.caller = caller
 
@@ -119,7 +119,7 @@
 
 
 def _read(
-    caller: JsonCaller,
+    caller: JsonClient,
     address: str,
     target: str,
     decode: Callable[[Answer], _T],
@@ -143,14 +143,14 @@
         return
     if answer.status == 503 or 400 <= answer.status < 500:
         raise UnavailableError(f"the service answered {answer.status}")
-    raise AnswerLostError(f"the service answered {answer.status}")
+    raise ResponseLostError(f"the service answered {answer.status}")
 
 
 def _decode(decode, answer):
     try:
         return decode(answer)
     except (KeyError, TypeError, binascii.Error, ValidationError) as error:
-        raise AnswerLostError(f"the answer has an unknown form: {error!r}") from error
+        raise ResponseLostError(f"the answer has an unknown form: {error!r}") from error
 
 
 def _entry(answer):
--- a/src/cassiaford/logs/_bounded.py
+++ b/src/cassiaford/logs/_bounded.py
@@ -3,7 +3,7 @@
 import os
 
 
-class BoundedStream:
+class NonBlockingStream:
     """Writes lines to a file descriptor, and drops them while nobody reads.
 
     A reader that stops reading fills the pipe; a process that waited for it
@@ -13,7 +13,7 @@
     Examples
     --------
     >>> reader, writer = os.pipe()
-    >>> stream = BoundedStream(writer)
+    >>> stream = NonBlockingStream(writer)
     >>> stream.write("one line\\n")
     9
     >>> os.read(reader, 100)
--- a/src/cassiaford/logs/_catalogue.py
+++ b/src/cassiaford/logs/_catalogue.py
@@ -24,11 +24,11 @@
     INSTANCE_READY = (1002, Level.INFO, "instance ready to serve")
     DRAIN_STARTED = (1003, Level.INFO, "graceful shutdown started")
     DRAIN_FINISHED = (1004, Level.INFO, "graceful shutdown finished")
-    SETTINGS_READ = (1008, Level.INFO, "settings read again")
+    SETTINGS_RELOADED = (1008, Level.INFO, "settings read again")
     SETTINGS_REJECTED = (1009, Level.ERROR, "settings not usable")
     INSTANCE_SUSPENDED = (1007, Level.WARNING, "instance was suspended")
     DRAIN_CUT_SHORT = (1005, Level.ERROR, "graceful shutdown cut short")
-    THREAD_FAILED = (1006, Level.ERROR, "background thread failed and goes on")
+    BACKGROUND_TASK_FAILED = (1006, Level.ERROR, "background thread failed and goes on")
 
     # 11xx: configuration and keys.
     REVISION_IN_FORCE = (1101, Level.INFO, "configuration revision in force")
@@ -39,7 +39,7 @@
     SNAPSHOT_WRITTEN = (1106, Level.INFO, "configuration snapshot written")
 
     VERSION_NAMED = (1107, Level.INFO, "version of weights named")
-    COPY_TAKEN = (1108, Level.INFO, "newer state taken from a peer")
+    PEER_COPY_APPLIED = (1108, Level.INFO, "newer state taken from a peer")
 
     # 12xx: requests.
     REQUEST_REFUSED = (1202, Level.INFO, "request refused")
@@ -58,7 +58,7 @@
     ENGINE_RESTARTED = (1313, Level.WARNING, "engine came back with an empty cache")
 
     PREFIX_STORE_LOST = (1315, Level.WARNING, "store for prefixes not reachable")
-    PREFIX_STORE_BACK = (1316, Level.INFO, "store for prefixes reachable again")
+    PREFIX_STORE_RECOVERED = (1316, Level.INFO, "store for prefixes reachable again")
     SERVER_JOINED = (1321, Level.INFO, "backend server registered")
     SERVER_CHANGED = (1322, Level.INFO, "backend server's entry changed")
     SERVER_REPLACED = (1324, Level.INFO, "another backend server at this address")
@@ -84,7 +84,7 @@
     # 17xx: orders to engines, and requests that crash servers.
     LOAD_ORDERED = (1701, Level.INFO, "engine is to load weights")
     LOAD_FINISHED = (1702, Level.INFO, "engine has loaded weights")
-    LOAD_LOST = (1703, Level.WARNING, "load of weights given up")
+    LOAD_ABANDONED = (1703, Level.WARNING, "load of weights given up")
     ORDER_NOT_ACCEPTED = (1704, Level.WARNING, "order refused or its answer lost")
     ORDERS_SUSPENDED = (1705, Level.WARNING, "no orders without key-value service")
     ORDERS_RESUMED = (1706, Level.INFO, "orders are given again")
@@ -93,7 +93,7 @@
 
     # 18xx: the key-value service.
     KEY_VALUE_LOST = (1801, Level.WARNING, "key-value service does not answer")
-    KEY_VALUE_BACK = (1802, Level.INFO, "key-value service answers again")
+    KEY_VALUE_RECOVERED = (1802, Level.INFO, "key-value service answers again")
 
     @property
     def number(self) -> int:
--- a/src/cassiaford/metrics/__init__.py
+++ b/src/cassiaford/metrics/__init__.py
@@ -1,5 +1,5 @@
 """Counters and latency percentiles of one process."""
 
-from cassiaford.metrics._registry import Counter, Label, Metrics, Quantity
+from cassiaford.metrics._registry import Counter, DurationMetric, Label, Metrics
 
-__all__ = ["Counter", "Label", "Metrics", "Quantity"]
+__all__ = ["Counter", "Label", "Metrics", "DurationMetric"]
--- a/src/cassiaford/metrics/_registry.py
+++ b/src/cassiaford/metrics/_registry.py
@@ -42,7 +42,7 @@
     OUTPUT_TOKENS = ("cassiaford_output_tokens_total", "Output tokens served.")
 
 
-class Quantity(enum.Enum):
+class DurationMetric(enum.Enum):
     """What is measured in seconds."""
 
     TIME_TO_FIRST_TOKEN = (
@@ -53,7 +53,7 @@
         "cassiaford_queue_wait_seconds",
         "From receipt to the first choice of a backend server.",
     )
-    DECISION_TIME = (
+    PLACEMENT_TIME = (
         "cassiaford_placement_seconds",
         "The choice of a backend server.",
     )
@@ -88,7 +88,7 @@
 
     def __init__(self):
         self.counts = {counter: {} for counter in Counter}
-        self.histograms = {quantity: {} for quantity in Quantity}
+        self.histograms = {quantity: {} for quantity in DurationMetric}
         self.gauges = {}
         self._lock = threading.Lock()
 
@@ -100,7 +100,7 @@
                 labels = tuple(Label(label.name, OTHER) for label in labels)
             series[labels] = series.get(labels, 0) + amount
 
-    def observe(self, quantity: Quantity, seconds: float, *labels: Label) -> None:
+    def observe(self, quantity: DurationMetric, seconds: float, *labels: Label) -> None:
         """Take in one duration."""
         microseconds = round(seconds * MICROSECONDS)
         bounded = min(max(microseconds, LOWEST_US), HIGHEST_US)
--- a/src/cassiaford/pipeline/__init__.py
+++ b/src/cassiaford/pipeline/__init__.py
@@ -38,7 +38,7 @@
     ReceiveFilter,
 )
 from cassiaford.pipeline._suspects import (
-    SuspectRegister,
+    SuspectPolicy,
 )
 from cassiaford.pipeline._versions import (
     ServedVersions,
@@ -60,7 +60,7 @@
     "ReceiveFilter",
     "ServedVersions",
     "ServiceClass",
-    "SuspectRegister",
+    "SuspectPolicy",
     "Usage",
     "create_dispatcher",
     "http_head",
--- a/src/cassiaford/pipeline/_answer_connection.py
+++ b/src/cassiaford/pipeline/_answer_connection.py
@@ -81,7 +81,7 @@
             self.reader.feed(data)
         except httptools.HttpParserError as error:
             self.listener.parse_failed(error)
-            self._fail(Failure.BROKEN_ANSWER)
+            self._fail(Failure.INVALID_RESPONSE)
 
     def eof_received(self) -> None:
         """Close; `connection_lost` follows."""
@@ -92,11 +92,11 @@
             return
         self.reader.end_of_connection()
         if self.head is None:
-            self._fail(Failure.RESET_BEFORE_ANSWER)
+            self._fail(Failure.RESET_BEFORE_RESPONSE)
         elif exc is not None:
-            self._fail(Failure.RESET_IN_ANSWER)
+            self._fail(Failure.RESET_DURING_RESPONSE)
         else:
-            self._fail(Failure.SHORT_ANSWER)
+            self._fail(Failure.TRUNCATED_RESPONSE)
 
     def answer_head(self, head: AnswerHead) -> None:
         """Pass the head on."""
--- a/src/cassiaford/pipeline/_body.py
+++ b/src/cassiaford/pipeline/_body.py
@@ -104,7 +104,7 @@
 
     def feed(self, data: bytes) -> Failure | None:
         """Refuse a body where there can be none."""
-        return Failure.BROKEN_ANSWER
+        return Failure.INVALID_RESPONSE
 
     def end(self) -> Failure | None:
         """Send the head."""
@@ -144,7 +144,7 @@
     def end(self) -> Failure | None:
         """End the caller's stream, if this one has come to its own end."""
         if not self.progress.complete or self.expected:
-            return Failure.SHORT_ANSWER
+            return Failure.TRUNCATED_RESPONSE
         self.usage = self.progress.usage
         self.caller.finish()
         return None
--- a/src/cassiaford/pipeline/_dispatch.py
+++ b/src/cassiaford/pipeline/_dispatch.py
@@ -23,7 +23,7 @@
 from cassiaford.pipeline._owner import ExchangeOwner
 from cassiaford.pipeline._refusals import stopping_refusal
 from cassiaford.pipeline._relay import Relay
-from cassiaford.pipeline._suspects import SuspectRegister
+from cassiaford.pipeline._suspects import SuspectPolicy
 from cassiaford.pipeline._upstream import upstream_request
 from cassiaford.pipeline._versions import ServedVersions, scoped_upstream
 from cassiaford.pipeline._waiting import WaitingJobs
@@ -66,7 +66,7 @@
         journal: Journal,
         rng: random.Random,
         credential: str,
-        suspects: SuspectRegister | None,
+        suspects: SuspectPolicy | None,
         clock: Callable[[], float],
         queue: RequestQueue,
         versions: ServedVersions | None = None,
@@ -177,10 +177,10 @@
             self.placement.observe_load(server, report, self.clock())
             self._changed.notify()
 
-    def observe_peer(self, server: str, tokens: int) -> None:
+    def observe_peer_prompt(self, server: str, tokens: int) -> None:
         """Tell placement of prompt tokens that a peer sent to a server."""
         with self._changed:
-            self.placement.peer_started(server, tokens, self.clock())
+            self.placement.record_peer_start(server, tokens, self.clock())
 
     def observe_events(self, server: str, events: CacheEvents) -> None:
         """Pass cache events to the placement policy."""
@@ -190,8 +190,8 @@
     def forget(self, server: str) -> None:
         """Drop every belief about a server that left or came back empty."""
         with self._changed:
-            self.placement.forget(server)
-            self.health.forget(server)
+            self.placement.remove_server(server)
+            self.health.remove_server(server)
 
     # What exchanges ask and tell; called in the event loop.
 
@@ -218,12 +218,12 @@
             return
         if self.suspects is not None and job.tells_of_crash(failure):
             self.suspects.crashed(job.request, server.name)
-        if not failure.blames_server:
+        if not failure.suspects_server:
             return
         with self._changed:
             now = self.clock()
             news = not self.health.suspected(server.name, now)
-            self.health.failed(server.name, now)
+            self.health.record_failure(server.name, now)
         if news:
             self.journal.record(
                 Event.SERVER_SUSPECTED, self._subject(job), failure=failure.text
@@ -237,16 +237,16 @@
         if self.suspects is not None:
             self.suspects.left(job.request, server.name)
         with self._changed:
-            self.health.finished(server.name)
+            self.health.record_end(server.name)
             if answered:
-                self.health.answered(server.name)
-            self.placement.finished(job.request.request_id, self.clock())
+                self.health.record_response(server.name)
+            self.placement.record_end(job.request.request_id, self.clock())
             self._changed.notify()
 
     def hold_server(self, job: Job, wait_s: float) -> None:
         """Give the job's server no new work for a while."""
         with self._changed:
-            self.health.hold(job.server.name, wait_s, self.clock())
+            self.health.back_off(job.server.name, wait_s, self.clock())
 
     def cancel(self, job: Job) -> None:
         """Cancel a model request at its engine, on another thread."""
@@ -258,7 +258,7 @@
     def first_byte(self, job: Job) -> None:
         """Tell placement that the prompt has been computed."""
         with self._changed:
-            self.placement.first_token(job.request.request_id, self.clock())
+            self.placement.record_first_token(job.request.request_id, self.clock())
 
     def settled(self, job: Job, outcome: Outcome) -> None:
         """Report the outcome, on another thread."""
@@ -277,7 +277,7 @@
 
     def fault(self, error: BaseException | None) -> None:
         """Record an error that nothing was prepared for."""
-        self.journal.record(Event.THREAD_FAILED, error=type(error).__name__)
+        self.journal.record(Event.BACKGROUND_TASK_FAILED, error=type(error).__name__)
 
     # Dispatch threads.
 
@@ -315,7 +315,7 @@
             self.relay.drop(job)
             return
         if self.clock() > job.request.start_by:
-            self.relay.attempt_failed(job, Failure.LATE_START)
+            self.relay.attempt_failed(job, Failure.START_DEADLINE_PASSED)
             return
         # Another server may have crashed by it while it waited for its turn.
         refusal = self._refuse_suspect(job.request)
@@ -364,7 +364,7 @@
     journal: Journal,
     rng: random.Random,
     credential: str = "",
-    suspects: SuspectRegister | None = None,
+    suspects: SuspectPolicy | None = None,
     clock: Callable[[], float] = time.monotonic,
     queue: RequestQueue | None = None,
     versions: ServedVersions | None = None,
--- a/src/cassiaford/pipeline/_exchange.py
+++ b/src/cassiaford/pipeline/_exchange.py
@@ -5,7 +5,7 @@
 
 import httptools
 
-from cassiaford._event_splitter import StreamError
+from cassiaford._event_splitter import EventStreamError
 from cassiaford.pipeline._answer_connection import AnswerConnection, AttemptListener
 from cassiaford.pipeline._answers import (
     REQUEST_ID_HEADER,
@@ -161,7 +161,7 @@
     def answer_head(self, head: AnswerHead) -> None:
         """Judge the head: a refusal, a wrong answer, or one to pass on."""
         if wrong_request(head, self.job.request.request_id):
-            self.attempt_failed(Failure.CROSSED_ANSWER)
+            self.attempt_failed(Failure.MISMATCHED_RESPONSE)
             return
         self.job.server_echoes_id |= bool(head.header("x-request-id"))
         failure = refused_attempt(head, self._continues())
@@ -211,7 +211,7 @@
     def parse_failed(self, error: httptools.HttpParserError) -> None:
         """Report an error of our own that came out of the parser's callback."""
         cause = error.__context__
-        if cause is not None and not isinstance(cause, StreamError):
+        if cause is not None and not isinstance(cause, EventStreamError):
             self.owner.fault(cause)
 
     # Recovery.
@@ -224,7 +224,9 @@
 
     def _go_elsewhere(self, failure, retry_after_s):
         decision = None
-        if not failure.final and can_replay(self.job, self.body, self.caller.started):
+        if not failure.is_final and can_replay(
+            self.job, self.body, self.caller.started
+        ):
             decision = self.owner.decide_retry(self.job)
         if decision is RetryDecision.RETRY:
             self.owner.server_left(self.job, answered=False)
@@ -260,7 +262,7 @@
             if now - connection.sent_at > self.limits.first_byte_s(self.job.request):
                 self.attempt_failed(Failure.FIRST_BYTE_TIMEOUT)
         elif now - connection.last_byte_at > self.limits.silence_timeout_s:
-            self.attempt_failed(Failure.SILENT)
+            self.attempt_failed(Failure.IDLE_TIMEOUT)
 
     # The answer.
 
@@ -300,7 +302,7 @@
     def _only_framing_missing(self, failure):
         """Return whether the stream had said that it was done."""
         started = isinstance(self.body, EventStreamRelay)
-        return started and self.job.progress.done and not failure.final
+        return started and self.job.progress.done and not failure.is_final
 
     def _complete_without_framing(self):
         if self.body.end() is None:
@@ -386,7 +388,7 @@
 
     def _server_unusable(self):
         if self.connection is not None:
-            self.attempt_failed(Failure.RESET_BEFORE_ANSWER)
+            self.attempt_failed(Failure.RESET_BEFORE_RESPONSE)
 
     def _run_waiting(self):
         waiting, self.waiting = self.waiting, []
--- a/src/cassiaford/pipeline/_job.py
+++ b/src/cassiaford/pipeline/_job.py
@@ -13,7 +13,7 @@
     Failure,
     PlacementRequest,
     Ticket,
-    tells_of_crash,
+    indicates_crash,
 )
 from cassiaford.verdict import Verdict, combine
 
@@ -152,7 +152,7 @@
     def tells_of_crash(self, failure: Failure) -> bool:
         """Return whether a failure looks like the crash of the job's server."""
         resuming = self.resume_at is not None
-        return tells_of_crash(failure, resuming, self.progress.received > 0)
+        return indicates_crash(failure, resuming, self.progress.received > 0)
 
     def after_failure(self) -> FailedRequest:
         """Return what the decision on a retry needs."""
@@ -160,7 +160,7 @@
             verdict=self.verdict,
             repeatable=self.request.repeatable,
             attempts=self.attempts,
-            give_up_at=self.give_up_at,
+            deadline=self.give_up_at,
         )
 
     def broken_stream(self) -> BrokenStream:
--- a/src/cassiaford/pipeline/_refusals.py
+++ b/src/cassiaford/pipeline/_refusals.py
@@ -10,7 +10,7 @@
 def failure_refusal(job: Job, failure: Failure, retry_after_s: float | None) -> Refusal:
     """Return the refusal of a job whose last attempt failed for good."""
     verdict = job.verdict
-    may_help = verdict.may_retry(job.request.repeatable) and not failure.final
+    may_help = verdict.may_retry(job.request.repeatable) and not failure.is_final
     wait_s = (retry_after_s or RETRY_AFTER_S) if may_help else None
     return Refusal(_reason(verdict, failure), verdict, failure.text, wait_s)
 
--- a/src/cassiaford/pipeline/_settle.py
+++ b/src/cassiaford/pipeline/_settle.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cassiaford.logs import Event
-from cassiaford.metrics import Counter, Label, Metrics, Quantity
+from cassiaford.metrics import Counter, DurationMetric, Label, Metrics
 from cassiaford.pipeline._admit import Limiter
 from cassiaford.pipeline._messages import AdmittedRequest, CallerRequest, Outcome
 from cassiaford.timeline import Journal, Subject
@@ -80,10 +80,10 @@
         label = Label("class", service_class)
         timings = outcome.timings
         durations = (
-            (Quantity.TIME_TO_FIRST_TOKEN, outcome.first_token_s),
-            (Quantity.QUEUE_WAIT, timings.queue_wait_s),
-            (Quantity.DECISION_TIME, timings.decision_s),
-            (Quantity.LONGEST_GAP, timings.longest_gap_s),
+            (DurationMetric.TIME_TO_FIRST_TOKEN, outcome.first_token_s),
+            (DurationMetric.QUEUE_WAIT, timings.queue_wait_s),
+            (DurationMetric.PLACEMENT_TIME, timings.decision_s),
+            (DurationMetric.LONGEST_GAP, timings.longest_gap_s),
         )
         for quantity, seconds in durations:
             if seconds is not None:
--- a/src/cassiaford/pipeline/_suspects.py
+++ b/src/cassiaford/pipeline/_suspects.py
@@ -6,7 +6,7 @@
 from cassiaford.verdict import Refusal
 
 
-class SuspectRegister(ABC):
+class SuspectPolicy(ABC):
     """Knows the requests that were running on servers when these crashed."""
 
     @abstractmethod
--- a/src/cassiaford/pipeline/_waiting.py
+++ b/src/cassiaford/pipeline/_waiting.py
@@ -11,7 +11,7 @@
 from cassiaford.config import BackendServer, Configuration
 from cassiaford.pipeline._job import Job
 from cassiaford.pipeline._refusals import late_refusal, no_server_refusal
-from cassiaford.pipeline._suspects import SuspectRegister
+from cassiaford.pipeline._suspects import SuspectPolicy
 from cassiaford.pipeline._versions import ServedVersions
 from cassiaford.policy import PlacementPolicy, RequestQueue, RetryBudget, ServerHealth
 from cassiaford.settings import LimitSettings
@@ -35,7 +35,7 @@
         placement: PlacementPolicy,
         queue: RequestQueue,
         rng: random.Random,
-        suspects: SuspectRegister | None,
+        suspects: SuspectPolicy | None,
         now: float,
         versions: ServedVersions | None = None,
     ):
@@ -110,7 +110,7 @@
         ticket = self.queue.take(now, may_dispatch)
         if ticket is None:
             return None
-        self.budget.first_try(now)
+        self.budget.record_first_attempt(now)
         job = self.queued.pop(ticket.request_id)
         received_at = job.request.authenticated.caller.received_at
         job.waited(now - received_at, self.decision_s)
@@ -127,8 +127,8 @@
         if placement is None:
             return False
         job.sent_to(_named(servers, placement.server))
-        self.health.started(placement.server)
-        self.placement.started(placement, request, now)
+        self.health.record_start(placement.server)
+        self.placement.record_start(placement, request, now)
         to_compute = request.prompt_tokens - placement.cached_tokens
         self.on_sent(placement.server, to_compute)
         if self.suspects is not None:
@@ -171,10 +171,10 @@
     def _refuse_without_server(self, job, now):
         """Return a refusal if no server can take a job before its deadline."""
         servers = self._servers(job)
-        wait_s = self.health.wait_for_any(servers, now)
+        wait_s = self.health.min_backoff_remaining_s(servers, now)
         if servers and now + wait_s < max(job.deadline, now + MIN_WAIT_S):
             return None
-        held_s = self.health.hold_left(job.servers, now)
+        held_s = self.health.max_backoff_remaining_s(job.servers, now)
         return no_server_refusal(job, max(wait_s, held_s))
 
 
--- a/src/cassiaford/platform/_dialect.py
+++ b/src/cassiaford/platform/_dialect.py
@@ -10,8 +10,8 @@
     HttpRequest,
     MalformedError,
     PromptPart,
-    RequestFacts,
-    ResponseFacts,
+    RequestMetadata,
+    ResponseMetadata,
 )
 
 # Headers that the system sets itself; what a caller sends in them is dropped.
@@ -42,14 +42,14 @@
 class PlatformDialect(Dialect):
     """Reads and writes the platform's headers."""
 
-    def read_request(self, request: HttpRequest) -> RequestFacts:
+    def read_request(self, request: HttpRequest) -> RequestMetadata:
         """Return what a caller's headers say."""
         headers = {name.lower(): value for name, value in request.headers}
         attempt_id = headers.get("x-attempt-id", "")
         if not attempt_id:
             raise MalformedError("the request has no X-Attempt-Id")
         prompt, output = _token_count(headers.get("x-token-count"))
-        return RequestFacts(
+        return RequestMetadata(
             attempt_id=attempt_id,
             host=headers.get("host", "").partition(":")[0],
             key=headers.get("x-key"),
@@ -88,11 +88,11 @@
             headers.append(("Last-Event-Id", facts.resume_after))
         return headers
 
-    def read_response(self, status: int, headers: Headers) -> ResponseFacts:
+    def read_response(self, status: int, headers: Headers) -> ResponseMetadata:
         """Return what the headers of a response say."""
         fields = {name.lower(): value for name, value in headers}
         misdirected = status == 421
-        return ResponseFacts(
+        return ResponseMetadata(
             attempt_id=fields.get("x-attempt-id"),
             signed="x-response-seal" in fields,
             # A 421 is itself the statement that the request has not run.
--- a/src/cassiaford/platform/_engines.py
+++ b/src/cassiaford/platform/_engines.py
@@ -8,11 +8,11 @@
     EngineCallError,
     EngineControl,
     EngineReport,
-    HttpCaller,
+    HttpClient,
     MalformedError,
-    OrderAnswer,
-    OtherServerError,
+    OrderResponse,
     VersionOrder,
+    WrongServerError,
 )
 from cassiaford.platform._json import flag, parse_object, whole
 from cassiaford.platform._records import versions_of
@@ -20,18 +20,18 @@
 # A report needs no slot and comes within milliseconds, over any link.
 TIME_OUT_S = 0.6
 _ANSWERS = {
-    202: OrderAnswer.ACCEPTED,
-    200: OrderAnswer.ALREADY_HOLDS,
-    409: OrderAnswer.CONFLICT,
-    412: OrderAnswer.FENCED_OFF,
-    400: OrderAnswer.REJECTED,
+    202: OrderResponse.ACCEPTED,
+    200: OrderResponse.ALREADY_LOADED,
+    409: OrderResponse.CONFLICT,
+    412: OrderResponse.FENCED_OFF,
+    400: OrderResponse.REJECTED,
 }
 
 
 class PlatformEngineControl(EngineControl):
     """Calls engines over HTTP."""
 
-    def __init__(self, caller: HttpCaller):
+    def __init__(self, caller: HttpClient):
         self.caller = caller
 
     async def report(self, server: BackendServer) -> EngineReport:
@@ -50,7 +50,7 @@
         except MalformedError as error:
             raise EngineCallError(f"the report is {error}") from error
 
-    async def order(self, server: BackendServer, order: VersionOrder) -> OrderAnswer:
+    async def order(self, server: BackendServer, order: VersionOrder) -> OrderResponse:
         """Order an engine to load a version once its requests have ended."""
         body = {
             "Op": "Version",
@@ -79,5 +79,5 @@
         except CallFailedError as error:
             raise EngineCallError(str(error)) from error
         if reply.status == 421:
-            raise OtherServerError("another server has the address")
+            raise WrongServerError("another server has the address")
         return reply
--- a/src/cassiaford/platform/_records.py
+++ b/src/cassiaford/platform/_records.py
@@ -8,7 +8,7 @@
     EngineSpec,
     MalformedError,
     PrefixStore,
-    Records,
+    RecordDecoder,
     RequestKind,
     Route,
     Service,
@@ -37,7 +37,7 @@
 _STATES = {"ready": False, "draining": True}
 
 
-class PlatformRecords(Records):
+class PlatformRecordDecoder(RecordDecoder):
     """Decodes configurations, named weights and servers' entries."""
 
     configuration_key = "op/config"
@@ -90,7 +90,7 @@
             data_centre=text(document, "Zone"),
             slots=whole(document, "Slots", 1),
             draining=_STATES[state],
-            born=whole(document, "born", 0),
+            started_at=whole(document, "born", 0),
             versions=versions_of(document),
         )
 
@@ -123,7 +123,7 @@
         path_prefix=text(entry, "PathPrefix"),
         kind=_KINDS[kind],
         targets=_targets(entry),
-        time_out_s=number(entry, "TimeoutMs") / 1000,
+        timeout_s=number(entry, "TimeoutMs") / 1000,
         target_latency_s=target_latency_s,
         target_pause_s=target_pause_s,
         priority=whole(entry, "Priority", 0),
@@ -184,6 +184,6 @@
     return CallerLimits(
         header_bytes=whole(entry, "MaxHeaderBytes", known.header_bytes),
         body_bytes=whole(entry, "MaxBodyBytes", known.body_bytes),
-        header_time_out_s=number(entry, "HeaderTimeoutMs", 3000) / 1000,
-        idle_time_out_s=number(entry, "IdleTimeoutMs", 15000) / 1000,
+        header_timeout_s=number(entry, "HeaderTimeoutMs", 3000) / 1000,
+        idle_timeout_s=number(entry, "IdleTimeoutMs", 15000) / 1000,
     )
--- a/src/cassiaford/platform/_settings.py
+++ b/src/cassiaford/platform/_settings.py
@@ -6,7 +6,7 @@
     GatewayAddresses,
     GatewaySettings,
     MalformedError,
-    ResendLimits,
+    RetryLimits,
 )
 from cassiaford.platform._json import number, parse_object, text
 
@@ -42,7 +42,7 @@
             metrics=f"{text(document, 'Ip')}:{METRICS_PORT}",
         ),
         store_address=text(_table(document, "Platform"), "Address"),
-        resends=ResendLimits(
+        retry_limits=RetryLimits(
             ratio=number(bounds, "RetryBudgetRatio", 0.1),
             slack=number(bounds, "BudgetSlack", 0),
             window_s=number(bounds, "BudgetWindowS", 10),
--- a/src/cassiaford/platform/_start.py
+++ b/src/cassiaford/platform/_start.py
@@ -5,22 +5,22 @@
 import pathlib
 import sys
 
-from cassiaford.gateway import ConnectionPool, Gateway, GatewayWorld, HttpCaller
-from cassiaford.logs import BoundedStream, configure_logging
+from cassiaford.gateway import ConnectionPool, Gateway, HttpClient, PlatformAdapter
+from cassiaford.logs import NonBlockingStream, configure_logging
 from cassiaford.platform._dialect import PlatformDialect
 from cassiaford.platform._directory import PlatformDirectory, PlatformProbe
 from cassiaford.platform._engines import PlatformEngineControl
-from cassiaford.platform._records import PlatformRecords
+from cassiaford.platform._records import PlatformRecordDecoder
 from cassiaford.platform._settings import PATH_VARIABLE, read_settings
 from cassiaford.platform._store import PlatformStore
 
 
-def create_world(store_address: str, pool: ConnectionPool) -> GatewayWorld:
+def create_adapter(store_address: str, pool: ConnectionPool) -> PlatformAdapter:
     """Return what a gateway on the platform is given."""
-    caller = HttpCaller(pool)
-    return GatewayWorld(
+    caller = HttpClient(pool)
+    return PlatformAdapter(
         dialect=PlatformDialect(),
-        records=PlatformRecords(),
+        records=PlatformRecordDecoder(),
         directory=PlatformDirectory(),
         probe=PlatformProbe(),
         store=PlatformStore(store_address, caller),
@@ -32,7 +32,7 @@
 async def serve(path: pathlib.Path) -> None:
     """Serve with the settings of a file until SIGTERM."""
     settings = read_settings(path)
-    world = create_world(settings.store_address, ConnectionPool())
+    world = create_adapter(settings.store_address, ConnectionPool())
     gateway = Gateway(settings, world, reload=lambda: read_settings(path))
     await gateway.run()
 
@@ -42,5 +42,5 @@
     path = os.environ.get(PATH_VARIABLE)
     if not path:
         sys.exit(f"{PATH_VARIABLE} names no settings file")
-    configure_logging("json", "info", BoundedStream(sys.stdout.fileno()))
+    configure_logging("json", "info", NonBlockingStream(sys.stdout.fileno()))
     asyncio.run(serve(pathlib.Path(path)))
--- a/src/cassiaford/platform/_store.py
+++ b/src/cassiaford/platform/_store.py
@@ -13,7 +13,7 @@
     Condition,
     Conflict,
     HistoryLostError,
-    HttpCaller,
+    HttpClient,
     Item,
     LeaseEndedError,
     MalformedError,
@@ -36,7 +36,7 @@
 class PlatformStore(SharedStore):
     """Calls the store at one address."""
 
-    def __init__(self, address: str, caller: HttpCaller):
+    def __init__(self, address: str, caller: HttpClient):
         self.address = address
         self.caller = caller
 
--- a/src/cassiaford/policy/_claim_segments.py
+++ b/src/cassiaford/policy/_claim_segments.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Sealed:
+class SealedSegment:
     """The name of a segment and when its newest record was written."""
 
     name: str
@@ -35,7 +35,7 @@
     """What the value of a shard holds."""
 
     records: Mapping[str, ClaimRecord] = field(default_factory=dict)
-    sealed: tuple[Sealed, ...] = ()
+    sealed: tuple[SealedSegment, ...] = ()
 
 
 class SegmentIndex:
@@ -46,7 +46,7 @@
         self._keys = {}
         self._cached = collections.OrderedDict()
 
-    def replace(self, sealed: tuple[Sealed, ...]) -> None:
+    def replace(self, sealed: tuple[SealedSegment, ...]) -> None:
         """Take in which segments the shard names."""
         self.sealed = sealed
         names = {segment.name for segment in sealed}
--- a/src/cassiaford/policy/_claim_shard.py
+++ b/src/cassiaford/policy/_claim_shard.py
@@ -5,12 +5,12 @@
 from collections.abc import Mapping
 
 from cassiaford.policy._claim_changes import ChangeQueue
-from cassiaford.policy._claim_segments import Sealed, SegmentIndex, ShardState
+from cassiaford.policy._claim_segments import SealedSegment, SegmentIndex, ShardState
 from cassiaford.policy._claim_steps import (
     Answers,
     ReadSegment,
     ReadShard,
-    Settled,
+    ResolvedClaim,
     Step,
     WriteSegment,
     WriteShard,
@@ -23,18 +23,18 @@
     ClaimRecord,
     ClaimState,
     released_record,
-    unavailable,
+    unavailable_refusal,
 )
 from cassiaford.verdict import Verdict
 
 # The first byte must leave within this time of the claim's first write.
-START_WITHIN_S = 60.0
+MAX_START_DELAY_S = 60.0
 # Above this size in bytes a shard takes no more claims; outcomes then still fit
 # under the megabyte that a value may have.
 CLAIM_VALUE_BYTES = 800_000
 # Claims wait this long for others to share their write, outcomes longer.
-GROUP_WINDOW_S = 0.005
-OUTCOME_WINDOW_S = 0.1
+CLAIM_BATCH_WINDOW_S = 0.005
+OUTCOME_BATCH_WINDOW_S = 0.1
 # Bounds the random delay before a write that lost to another is made again.
 CONFLICT_DELAY_S = 0.004
 MAX_CONFLICT_DELAY_S = 0.064
@@ -48,7 +48,7 @@
 FRESH_S = 0.01
 
 
-class ShardBook:
+class ShardClaims:
     """The claims of one shard, as one instance sees and changes them.
 
     The shell calls `next_step`, performs the call that it returns, and reports
@@ -85,7 +85,7 @@
 
     def submit(
         self, record: ClaimRecord, now: float, forwarded: bool = False
-    ) -> Settled | None:
+    ) -> ResolvedClaim | None:
         """Add a claim; return its answer if no call is needed for it.
 
         One that was `forwarded` before may be written by another instance.
@@ -93,12 +93,12 @@
         if forwarded:
             self._note_elsewhere(record)
         standing = self._local_view(record)
-        claim = Claim(self.name, record, now + START_WITHIN_S)
+        claim = Claim(self.name, record, now + MAX_START_DELAY_S)
         if standing is not None and _is_granted(standing, record):
             self._elsewhere.pop(record.nonce, None)
-            return Settled(record.nonce, claim)
+            return ResolvedClaim(record.nonce, claim)
         if standing is not None and self._is_final(standing):
-            return Settled(record.nonce, self._second_arrival(standing, record))
+            return ResolvedClaim(record.nonce, self._second_arrival(standing, record))
         self.pending[record.nonce] = claim
         return None
 
@@ -124,12 +124,12 @@
         self.changes.add(released_record(record))
         self._must_write = True
 
-    def disown(self, nonce: str) -> None:
+    def reject_ownership(self, nonce: str) -> None:
         """Release an own claim that another instance was granted too late."""
         if nonce in self._elsewhere and nonce not in self.pending:
             self.release(self._elsewhere.pop(nonce))
 
-    def end(self, record: ClaimRecord) -> bool:
+    def record_outcome(self, record: ClaimRecord) -> bool:
         """Queue the outcome of a claim; verdict *not run* releases it.
 
         Returns whether it was queued. In a long outage the queue is full in
@@ -150,7 +150,7 @@
         self._step = self._choose_step(wall)
         return self._step
 
-    def on_read(self, state: ShardState, version: int, wall: float) -> Answers:
+    def on_shard_read(self, state: ShardState, version: int, wall: float) -> Answers:
         """Take in the shard as read, or as told by a write that lost."""
         if isinstance(self._step, WriteShard):
             self._contended_until = wall + CONTENTION_MEMORY_S
@@ -158,7 +158,7 @@
         self._take(state, version)
         return self._settle_standing() + self._settle_unclaimable(wall)
 
-    def on_written(self, version: int) -> Answers:
+    def on_shard_written(self, version: int) -> Answers:
         """Take note that the last write took effect."""
         state = self._step.state
         self._take(state, version)
@@ -176,9 +176,9 @@
         self._step = None
         self.segments.load(step.name, step.records)
         newest = max(record.written_at for record in step.records.values())
-        self._seal = (Sealed(step.name, newest), step.records)
+        self._seal = (SealedSegment(step.name, newest), step.records)
 
-    def on_unknown(self) -> None:
+    def on_unknown_outcome(self) -> None:
         """Take note that the last write may have taken effect, or may yet."""
         if isinstance(self._step, WriteShard):
             self._unsure_version = self.version
@@ -193,7 +193,7 @@
         """Refuse what waits: the service is down, and nothing has been sent."""
         return tuple(self.refuse(nonce, retry_after_s) for nonce in list(self.pending))
 
-    def refuse(self, nonce: str, retry_after_s: float) -> Settled:
+    def refuse(self, nonce: str, retry_after_s: float) -> ResolvedClaim:
         """Refuse one pending claim, with all that is known of its key."""
         record = self.pending[nonce].record
         # Another instance releases its claim only if told that it is not known
@@ -203,8 +203,8 @@
         self.abandon(nonce)
         standing = self._local_view(record)
         if standing is None or standing.nonce == nonce or unsure:
-            return Settled(nonce, unavailable(retry_after_s))
-        return Settled(nonce, self._second_arrival(standing, record))
+            return ResolvedClaim(nonce, unavailable_refusal(retry_after_s))
+        return ResolvedClaim(nonce, self._second_arrival(standing, record))
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
         """Take note that an incarnation, and any before it, runs no more."""
@@ -349,10 +349,10 @@
                 self._elsewhere.pop(nonce, None)
                 if standing.instance == self.instance:
                     self.active.add(nonce)
-                settled.append(Settled(nonce, claim))
+                settled.append(ResolvedClaim(nonce, claim))
             else:
                 answer = self._second_arrival(standing, claim.record)
-                settled.append(Settled(nonce, answer))
+                settled.append(ResolvedClaim(nonce, answer))
                 if nonce in self._elsewhere:
                     self.release(claim.record)
         return tuple(settled)
@@ -368,8 +368,8 @@
         ]
         for nonce in nonces:
             self.abandon(nonce)
-        refusal = unavailable(self._next_expiry(wall))
-        return tuple(Settled(nonce, refusal) for nonce in nonces)
+        refusal = unavailable_refusal(self._next_expiry(wall))
+        return tuple(ResolvedClaim(nonce, refusal) for nonce in nonces)
 
     def _next_expiry(self, wall):
         oldest = min((r.written_at for r in self.records.values()), default=wall)
--- a/src/cassiaford/policy/_claim_steps.py
+++ b/src/cassiaford/policy/_claim_steps.py
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True)
-class Settled:
+class ResolvedClaim:
     """The answer to one pending claim, named by its nonce."""
 
     nonce: str
     answer: ClaimAnswer
 
 
-Answers = tuple[Settled, ...]
+Answers = tuple[ResolvedClaim, ...]
 
 
 @dataclass(frozen=True)
--- a/src/cassiaford/policy/_claims.py
+++ b/src/cassiaford/policy/_claims.py
@@ -105,7 +105,7 @@
 ClaimAnswer = Claim | RecordedOutcome | Refusal
 
 
-def unavailable(retry_after_s: float) -> Refusal:
+def unavailable_refusal(retry_after_s: float) -> Refusal:
     """Return the refusal of a request that could not be claimed."""
     return refuse(
         RefusalReason.CLAIMS_UNAVAILABLE,
--- a/src/cassiaford/policy/_departures.py
+++ b/src/cassiaford/policy/_departures.py
@@ -27,9 +27,9 @@
     Examples
     --------
     >>> departures = Departures(list_lag_s=10.0)
-    >>> departures.seen("entry-1", 5)
+    >>> departures.record_live("entry-1", 5)
     ()
-    >>> departures.seen("entry-1", 6)
+    >>> departures.record_live("entry-1", 6)
     (Departure(instance='entry-1', incarnation=5),)
     """
 
@@ -40,7 +40,7 @@
         self.unlisted_since: dict[str, float] = {}
         self.departed: set[Departure] = set()
 
-    def seen(self, instance: str, incarnation: int) -> tuple[Departure, ...]:
+    def record_live(self, instance: str, incarnation: int) -> tuple[Departure, ...]:
         """Take note of a live incarnation; return what departed by it."""
         before = self.newest.get(instance)
         if before is not None and incarnation < before:
@@ -52,16 +52,18 @@
             return ()
         return self._depart(instance, before)
 
-    def silent(self, instance: str) -> None:
+    def record_silence(self, instance: str) -> None:
         """Take note that an instance is not heard, which proves nothing."""
         self.live.discard(instance)
 
-    def left(self, instance: str, incarnation: int) -> tuple[Departure, ...]:
+    def record_leave(self, instance: str, incarnation: int) -> tuple[Departure, ...]:
         """Take note of a goodbye."""
         self.live.discard(instance)
         return self._depart(instance, incarnation)
 
-    def listed(self, instances: Iterable[str], now: float) -> tuple[Departure, ...]:
+    def record_listing(
+        self, instances: Iterable[str], now: float
+    ) -> tuple[Departure, ...]:
         """Take in an answer of the platform's list."""
         present = set(instances)
         departed = []
--- a/src/cassiaford/policy/_ledger_reports.py
+++ b/src/cassiaford/policy/_ledger_reports.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from cassiaford.policy._owners import Holder, Ledger
-from cassiaford.policy._share_messages import Poll, Report
+from cassiaford.policy._share_messages import LedgerPoll, LedgerReport
 
 POLL_S = 0.2
 # Members that stay silent, as in a long cut, are polled this seldom.
@@ -45,10 +45,10 @@
         self._first_valid = self._number + 1
         self._polled_at = now - SLOW_POLL_S
 
-    def next_poll(self, epoch: int) -> Poll:
+    def next_poll(self, epoch: int) -> LedgerPoll:
         """Return a poll with a number of its own."""
         self._number += 1
-        return Poll(self._number, epoch)
+        return LedgerPoll(self._number, epoch)
 
     def poll_due(self, now: float) -> bool:
         """Return whether it is time for polls; if so, take them as sent."""
@@ -59,11 +59,11 @@
         self._fruitless += 1
         return True
 
-    def note(self, sender: Holder, report: Report) -> None:
+    def note(self, sender: Holder, report: LedgerReport) -> None:
         """Keep a report."""
         self._fruitless = 0
         self._epochs[sender] = max(report.epoch, self._epochs.get(sender, 0))
-        if report.sure and report.number >= self._first_valid:
+        if report.confirmed and report.number >= self._first_valid:
             self._confirmed_by.add(sender)
 
     def confirmed(self, ledger: Ledger) -> bool:
--- a/src/cassiaford/policy/_membership.py
+++ b/src/cassiaford/policy/_membership.py
@@ -16,7 +16,7 @@
     MemberChanged,
     MembershipMessage,
     MessageKind,
-    PeerHeard,
+    PeerContact,
     SendMessage,
     Superseded,
 )
@@ -85,7 +85,7 @@
         """Return the names of the members that do not answer at present."""
         return frozenset(member.instance for member in self.table.suspects())
 
-    def learn_addresses(self, addresses: tuple[str, ...]) -> None:
+    def add_addresses(self, addresses: tuple[str, ...]) -> None:
         """Take note of addresses at which instances may be found."""
         known = {member.peer_address for member in self.members()}
         known.update(self.contacts)
@@ -113,7 +113,7 @@
         as_of = self.probes.sent.get(message.sequence)
         if message.kind is not MessageKind.ACK:
             as_of = None
-        actions.append(PeerHeard(sender, message.revision, as_of))
+        actions.append(PeerContact(sender, message.revision, as_of))
         actions += self._answer(sender, message, now)
         actions += self._sync_if_different(sender, message, now)
         return actions
@@ -214,7 +214,7 @@
         """Try addresses that may lead to members not known as live."""
         live = self.table.live()
         if self._is_time_for_seeds() or not live:
-            self.learn_addresses(self.seeds)
+            self.add_addresses(self.seeds)
         addresses = self.contacts[:CONTACTS_PER_PERIOD]
         del self.contacts[:CONTACTS_PER_PERIOD]
         if self.period % RECONNECT_PERIODS == 0 and self.table.dead():
--- a/src/cassiaford/policy/_membership_messages.py
+++ b/src/cassiaford/policy/_membership_messages.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class PeerHeard:
+class PeerContact:
     """A peer told which revision it has in force.
 
     `as_of` is the time at which this was surely still true, which is when the
@@ -70,4 +70,4 @@
     incarnation: int
 
 
-Action = SendMessage | MemberChanged | PeerHeard | Superseded
+Action = SendMessage | MemberChanged | PeerContact | Superseded
