--- a/src/cassiaford/policy/_orders.py
+++ b/src/cassiaford/policy/_orders.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Want:
+class DesiredVersion:
     """The version of a model that a server should have."""
 
     server: str
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True)
-class GiveOrder:
+class SendOrder:
     """Asks the shell to send an order, if `Orderer.may_send` still says so."""
 
     load: Load
@@ -103,7 +103,7 @@
         # another one than is wanted: by then no older order is under way.
         self.changed_at: dict[tuple[str, str], float] = {}
         self.report_interval_s = 0.5
-        self.wants: dict[tuple[str, str], Want] = {}
+        self.desired: dict[tuple[str, str], DesiredVersion] = {}
         self.wanted_since: dict[tuple[str, str], float] = {}
         self.reports: dict[str, _Report] = {}
         self.attempts = 0
@@ -118,32 +118,32 @@
         self.seen_since: dict[str, float] = {}
         self.retry_at: dict[str, float] = {}
 
-    def configure(self, wants: Sequence[Want], now: float) -> None:
+    def configure(self, wants: Sequence[DesiredVersion], now: float) -> None:
         """Take in what every joined engine should have."""
-        before = self.wants
-        self.wants = {(want.server, want.model): want for want in wants}
-        for key, want in self.wants.items():
+        before = self.desired
+        self.desired = {(want.server, want.model): want for want in wants}
+        for key, want in self.desired.items():
             known = before.get(key)
             if known is None or known.version != want.version:
                 self.wanted_since[key] = now
             if known is not None and known.version != want.version:
                 self.changed_at[key] = now
         for times in (self.wanted_since, self.changed_at):
-            _keep(times, self.wants.keys())
+            _keep(times, self.desired.keys())
 
-    def observe(self, server: str, models: Mapping[str, str], now: float) -> None:
+    def record_report(self, server: str, models: Mapping[str, str], now: float) -> None:
         """Take in an engine's load report."""
         self.reports[server] = _Report(dict(models), now)
         for key in tuple(self.changed_at):
             name, model = key
-            if name == server and models.get(model) != self.wants[key].version:
+            if name == server and models.get(model) != self.desired[key].version:
                 del self.changed_at[key]
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop what is believed of an engine."""
         self.reports.pop(server, None)
 
-    def table_read(self, table: LoadTable, now: float) -> None:
+    def apply_table(self, table: LoadTable, now: float) -> None:
         """Take in the table, as read or as written with success."""
         self.table = table
         self.was_read = True
@@ -162,7 +162,7 @@
         """Return whether the table must be read, and orders may be due."""
         if self.table.loads or not self.was_read:
             return True
-        return any(self._differs(want, now) for want in self.wants.values())
+        return any(self._differs(want, now) for want in self.desired.values())
 
     def is_serving(self, server: str, model: str) -> bool:
         """Return whether an engine has a model and is not loading it.
@@ -196,12 +196,12 @@
         """Return the loads that this instance holds."""
         return tuple(load for load in self.table.loads if self._is_own(load))
 
-    def kept(self, live: Sequence[str], now: float) -> tuple[Want, ...]:
+    def withheld(self, live: Sequence[str], now: float) -> tuple[DesiredVersion, ...]:
         """Return what is not ordered as it would take a last serving server."""
         loading = {load.model for load in self.table.loads}
         return tuple(
             want
-            for want in self.wants.values()
+            for want in self.desired.values()
             if want.model not in loading
             and self._is_chosen(want.server, live)
             and self._differs(want, now)
@@ -210,10 +210,10 @@
 
     def step(
         self, live: Sequence[str], now: float
-    ) -> tuple[WriteTable | GiveOrder, ...]:
+    ) -> tuple[WriteTable | SendOrder, ...]:
         """Return what to do now; `live` names the live instances."""
         orders = tuple(
-            GiveOrder(load) for load in self.table.loads if self._is_due(load, now)
+            SendOrder(load) for load in self.table.loads if self._is_due(load, now)
         )
         table = self._next_table(live, now)
         return orders if table is None else (*orders, WriteTable(table))
@@ -235,12 +235,12 @@
             return False
         return now < granted_at + self.limits.lease_s and not self.is_done(load)
 
-    def order_sent(self, load: Load, now: float) -> None:
+    def record_order_sent(self, load: Load, now: float) -> None:
         """Take note that an order is about to be sent."""
         self.sent_at[load.order_id] = now
         self.answered.discard(load.order_id)
 
-    def order_answered(self, load: Load, accepted: bool) -> None:
+    def record_order_reply(self, load: Load, accepted: bool) -> None:
         """Take note of an answer; a lost one is not told."""
         if accepted and load.order_id in self.sent_at:
             self.answered.add(load.order_id)
@@ -279,7 +279,7 @@
         timeout_at = self.first_seen[load.order_id] + self.limits.load_timeout_s
         if not self.is_done(load) and now < timeout_at:
             return False
-        want = self.wants.get((load.server, load.model))
+        want = self.desired.get((load.server, load.model))
         if want is not None and want.checks_fencing:
             return True
         return now >= self._landed_at(load)
@@ -319,7 +319,7 @@
         return LoadTable(fencing, loads)
 
     def _grant(self, live, now):
-        for want in sorted(self.wants.values(), key=lambda w: (w.server, w.model)):
+        for want in sorted(self.desired.values(), key=lambda w: (w.server, w.model)):
             if self._may_grant(want, live, now):
                 fencing = self.table.fencing + 1
                 load = Load(
@@ -359,7 +359,7 @@
         report = self._fresh_report(want.server, now)
         return report is not None and report.models.get(want.model) != want.version
 
-    def is_last(self, want: Want, now: float) -> bool:
+    def is_last(self, want: DesiredVersion, now: float) -> bool:
         """Return whether a load would take a model's last serving server."""
         report = self._fresh_report(want.server, now)
         if report is None or want.model not in report.models:
@@ -370,7 +370,7 @@
             and server != want.server
             and server not in loading
             and self._serves(server, model, now)
-            for server, model in self.wants
+            for server, model in self.desired
         )
 
     def _serves(self, server, model, now):
--- a/src/cassiaford/policy/_placement.py
+++ b/src/cassiaford/policy/_placement.py
@@ -63,18 +63,18 @@
     ) -> Placement | None:
         """Return the choice, or None if no server may take the request now."""
 
-    def started(
+    def record_start(
         self, placement: Placement, request: PlacementRequest, now: float
     ) -> None:
         """Take note that a request was sent to the chosen server."""
 
-    def peer_started(self, server: str, tokens: int, now: float) -> None:
+    def record_peer_start(self, server: str, tokens: int, now: float) -> None:
         """Take note that another instance sent a server prompt tokens to compute."""
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Take note that the prompt of a request has been computed."""
 
-    def finished(self, request_id: str, now: float) -> None:
+    def record_end(self, request_id: str, now: float) -> None:
         """Take note that a request has ended on its server, however."""
 
     def observe_load(self, server: str, report: LoadReport, now: float) -> None:
@@ -83,5 +83,5 @@
     def observe_events(self, server: str, events: CacheEvents, now: float) -> None:
         """Take in cache events."""
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop every belief about a server that left or came back empty."""
--- a/src/cassiaford/policy/_prefix_placement.py
+++ b/src/cassiaford/policy/_prefix_placement.py
@@ -127,11 +127,11 @@
         cached = min(best.held_tokens, request.prompt_tokens)
         return Placement(best.server, cached, best.expected_s)
 
-    def started(
+    def record_start(
         self, placement: Placement, request: PlacementRequest, now: float
     ) -> None:
         """Expect the prompt's blocks on the server and its work before it."""
-        self.finished(request.request_id, now)
+        self.record_end(request.request_id, now)
         load = self.beliefs.load_of(placement.server)
         tokens = request.prompt_tokens - placement.cached_tokens
         ahead = load.waiting_tokens(now)
@@ -146,20 +146,20 @@
             known.weight += weight
             known.holders |= load.bit
 
-    def peer_started(self, server: str, tokens: int, now: float) -> None:
+    def record_peer_start(self, server: str, tokens: int, now: float) -> None:
         """Expect a peer's prompt in the queue until a load report holds it."""
         load = self.beliefs.known(server)
         if load is not None:
             load.hear(tokens, now)
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Learn the server's speed; its queue is shorter by the prompt."""
         load = self.beliefs.known(self._server_of.pop(request_id, ""))
         sent = load.remove(request_id) if load else None
         if sent is not None:
             load.learn_speed(sent, now)
 
-    def finished(self, request_id: str, now: float) -> None:
+    def record_end(self, request_id: str, now: float) -> None:
         """Drop what was expected of a request that got no first token."""
         load = self.beliefs.known(self._server_of.pop(request_id, ""))
         sent = load.remove(request_id) if load else None
@@ -195,7 +195,7 @@
             else:
                 self.beliefs.evicted(event.block, load.bit)
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop every belief about a server that left or came back empty."""
         load = self.beliefs.forget(server)
         for request_id in load.sent if load else ():
--- a/src/cassiaford/policy/_resumption.py
+++ b/src/cassiaford/policy/_resumption.py
@@ -9,9 +9,9 @@
 
 _RESUMABLE = frozenset(
     {
-        Failure.SILENT,
-        Failure.RESET_IN_ANSWER,
-        Failure.SHORT_ANSWER,
+        Failure.IDLE_TIMEOUT,
+        Failure.RESET_DURING_RESPONSE,
+        Failure.TRUNCATED_RESPONSE,
         Failure.FIRST_BYTE_TIMEOUT,
     }
 )
@@ -39,7 +39,7 @@
     Examples
     --------
     >>> stream = BrokenStream(True, True, False, False, 0)
-    >>> may_resume(stream, Failure.SILENT)
+    >>> may_resume(stream, Failure.IDLE_TIMEOUT)
     True
     """
     if not stream.streaming or stream.complete or failure not in _RESUMABLE:
--- a/src/cassiaford/policy/_retries.py
+++ b/src/cassiaford/policy/_retries.py
@@ -17,11 +17,15 @@
 
 
 _CRASH_FAILURES = frozenset(
-    {Failure.RESET_BEFORE_ANSWER, Failure.RESET_IN_ANSWER, Failure.SHORT_ANSWER}
+    {
+        Failure.RESET_BEFORE_RESPONSE,
+        Failure.RESET_DURING_RESPONSE,
+        Failure.TRUNCATED_RESPONSE,
+    }
 )
 
 
-def tells_of_crash(failure: Failure, resuming: bool, has_events: bool) -> bool:
+def indicates_crash(failure: Failure, resuming: bool, has_events: bool) -> bool:
     """Return whether a failed attempt looks like the crash of its server.
 
     A stream that has brought events is first resumed; only if its server is
@@ -53,7 +57,7 @@
     verdict: Verdict
     repeatable: bool
     attempts: int
-    give_up_at: float
+    deadline: float
 
 
 class RetryBudget:
@@ -67,7 +71,7 @@
     Examples
     --------
     >>> budget = RetryBudget(now=0.0)
-    >>> budget.saved
+    >>> budget.available
     32.0
     """
 
@@ -80,14 +84,14 @@
     ):
         self.share = share
         self.floor_per_s = floor_per_s
-        self.most = reserve
-        self.saved = reserve
+        self.capacity = reserve
+        self.available = reserve
         self.updated_at = now
 
-    def first_try(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Take note that a request was sent for the first time."""
         self._refill(now)
-        self.saved = min(self.most, self.saved + self.share)
+        self.available = min(self.capacity, self.available + self.share)
 
     def decide(self, request: FailedRequest, now: float) -> RetryDecision:
         """Decide on one more attempt; a retry is taken from the budget."""
@@ -95,15 +99,15 @@
             return RetryDecision.MAY_HAVE_RUN
         if request.attempts >= MAX_ATTEMPTS:
             return RetryDecision.TOO_MANY_ATTEMPTS
-        if now >= request.give_up_at:
+        if now >= request.deadline:
             return RetryDecision.TOO_LATE
         self._refill(now)
-        if self.saved < 1.0:
+        if self.available < 1.0:
             return RetryDecision.BUDGET_USED_UP
-        self.saved -= 1.0
+        self.available -= 1.0
         return RetryDecision.RETRY
 
     def _refill(self, now):
         earned = max(0.0, now - self.updated_at) * self.floor_per_s
-        self.saved = min(self.most, self.saved + earned)
+        self.available = min(self.capacity, self.available + earned)
         self.updated_at = max(now, self.updated_at)
--- a/src/cassiaford/policy/_revisions.py
+++ b/src/cassiaford/policy/_revisions.py
@@ -69,12 +69,12 @@
         self.service_loaded = False
         self.word_at = float("-inf")
         self.told: dict[str, int] = {}
-        self.lacking_since: float | None = None
+        self.behind_since: float | None = None
         self.next_fetch = float("-inf")
 
     # What arrives.
 
-    def take_entry(self, revision: Revision) -> RevisionChange | None:
+    def apply_revision(self, revision: Revision) -> RevisionChange | None:
         """Put a revision in force if it is the next one."""
         if revision.number != self.current.revision + 1:
             return None
@@ -84,7 +84,7 @@
         self._caught_up()
         return change
 
-    def take_snapshot(self, configuration: Configuration) -> RevisionChange | None:
+    def apply_snapshot(self, configuration: Configuration) -> RevisionChange | None:
         """Put a whole configuration in force if it is later or the first."""
         if configuration.revision <= self.current.revision:
             return None
@@ -93,34 +93,34 @@
         self._caught_up()
         return RevisionChange(old, configuration)
 
-    def service_loaded_at(self, as_of: float) -> None:
+    def record_service_load(self, as_of: float) -> None:
         """Take note that all that the service held at a time is in force."""
         self.loaded = True
         self.service_loaded = True
-        self.service_word(as_of)
+        self.record_service_contact(as_of)
 
-    def service_word(self, as_of: float) -> None:
+    def record_service_contact(self, as_of: float) -> None:
         """Take note that the service had nothing newer at a time."""
         self.service_answers = True
         self.word_at = max(self.word_at, as_of)
         self._caught_up()
 
-    def peer_loaded_at(self, as_of: float) -> None:
+    def record_peer_load(self, as_of: float) -> None:
         """Take note that all that a peer held at a time is in force."""
         self.loaded = True
         self.word_at = max(self.word_at, as_of)
         self._caught_up()
 
-    def service_failed(self) -> None:
+    def record_service_failure(self) -> None:
         """Take note that the service does not answer."""
         self.service_answers = False
 
-    def service_ahead(self, now: float) -> None:
+    def record_newer_revision(self, now: float) -> None:
         """Take note that the service has something that is not in force."""
-        if self.lacking_since is None:
-            self.lacking_since = now
+        if self.behind_since is None:
+            self.behind_since = now
 
-    def peer_word(
+    def update_from_peer(
         self, instance: str, revision: int, as_of: float | None, now: float
     ) -> None:
         """Take note of the revision in force at a peer.
@@ -130,19 +130,19 @@
         """
         self.told[instance] = max(revision, self.told.get(instance, 0))
         if revision > self.current.revision:
-            self.service_ahead(now)
+            self.record_newer_revision(now)
             return
         vouches = self.loaded and revision == self.current.revision
         if vouches and as_of is not None:
             self.word_at = max(self.word_at, as_of)
 
-    def forget_peer(self, instance: str) -> None:
+    def remove_peer(self, instance: str) -> None:
         """Drop what a peer told that is gone."""
         self.told.pop(instance, None)
 
     # What to do.
 
-    def fetch_from(self, now: float) -> str | None:
+    def choose_fetch_peer(self, now: float) -> str | None:
         """Return the peer to fetch from now, if anything is lacking."""
         ahead = [p for p, n in self.told.items() if n > self.current.revision]
         if not ahead or now < self.next_fetch:
@@ -161,42 +161,42 @@
             return None
         return tuple(entry for entry in self.recent if entry.number > number)
 
-    def choose(self, peers: list[str], count: int) -> list[str]:
+    def choose_peers(self, peers: list[str], count: int) -> list[str]:
         """Return some of the peers to tell of a new revision."""
         return self.rng.sample(peers, min(count, len(peers)))
 
     # What to tell.
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether a withdrawal would have been noticed by now."""
         if not self.loaded or now - self.word_at > self.stale_after_s:
             return False
-        if self.lacking_since is None:
+        if self.behind_since is None:
             return True
-        return now - self.lacking_since <= self.stale_after_s
+        return now - self.behind_since <= self.stale_after_s
 
-    def ready(self, peer_count: int) -> bool:
+    def is_ready(self, peer_count: int) -> bool:
         """Return whether serving may start.
 
         It may not at a revision lower than the peers know, so an instance
         that learnt the configuration from peers alone first hears several.
         """
-        if not self.loaded or self.current.revision < self.highest_told():
+        if not self.loaded or self.current.revision < self.highest_peer_revision():
             return False
         if self.service_loaded:
             return True
         return len(self.told) >= min(PEERS_TO_HEAR, peer_count)
 
-    def highest_told(self) -> int:
+    def highest_peer_revision(self) -> int:
         """Return the highest revision that a peer has told of."""
         return max(self.told.values(), default=0)
 
     def _service_may_tell(self, now):
         if not (self.loaded and self.service_answers):
             return False
-        return now < (self.lacking_since or now) + FETCH_DELAY_S
+        return now < (self.behind_since or now) + FETCH_DELAY_S
 
     def _caught_up(self):
-        if self.current.revision >= self.highest_told():
-            self.lacking_since = None
+        if self.current.revision >= self.highest_peer_revision():
+            self.behind_since = None
             self.next_fetch = float("-inf")
--- a/src/cassiaford/policy/_server_health.py
+++ b/src/cassiaford/policy/_server_health.py
@@ -17,7 +17,7 @@
     Examples
     --------
     >>> health = ServerHealth()
-    >>> health.started("engine-1")
+    >>> health.record_start("engine-1")
     >>> health.in_flight["engine-1"]
     1
     """
@@ -25,13 +25,13 @@
     def __init__(self):
         self.in_flight = {}
         self.suspected_until = {}
-        self.held_until = {}
+        self.backoff_until = {}
 
-    def started(self, server: str) -> None:
+    def record_start(self, server: str) -> None:
         """Take note that a request was given to a server."""
         self.in_flight[server] = self.in_flight.get(server, 0) + 1
 
-    def finished(self, server: str) -> None:
+    def record_end(self, server: str) -> None:
         """Take note that a request has ended there."""
         left = self.in_flight.get(server, 0) - 1
         if left > 0:
@@ -39,38 +39,40 @@
         else:
             self.in_flight.pop(server, None)
 
-    def failed(self, server: str, now: float) -> None:
+    def record_failure(self, server: str, now: float) -> None:
         """Suspect a server whose connection failed."""
         self.suspected_until[server] = now + SUSPICION_S
 
-    def answered(self, server: str) -> None:
+    def record_response(self, server: str) -> None:
         """Clear a server that answered in full."""
         self.suspected_until.pop(server, None)
 
-    def hold(self, server: str, wait_s: float, now: float) -> None:
+    def back_off(self, server: str, wait_s: float, now: float) -> None:
         """Give a server no new work for the time it asked for."""
-        self.held_until[server] = now + min(wait_s, MAX_HOLD_S)
+        self.backoff_until[server] = now + min(wait_s, MAX_HOLD_S)
 
     def suspected(self, server: str, now: float) -> bool:
         """Return whether a server's newest calls failed."""
         return self.suspected_until.get(server, now) > now
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop what was seen of a server that left; its requests still end."""
         self.suspected_until.pop(server, None)
-        self.held_until.pop(server, None)
+        self.backoff_until.pop(server, None)
 
-    def wait_for_any(self, servers: Sequence[BackendServer], now: float) -> float:
+    def min_backoff_remaining_s(
+        self, servers: Sequence[BackendServer], now: float
+    ) -> float:
         """Return the seconds until one of the servers takes new work again."""
         return min(
-            (max(0.0, self.held_until.get(s.name, now) - now) for s in servers),
+            (max(0.0, self.backoff_until.get(s.name, now) - now) for s in servers),
             default=0.0,
         )
 
-    def hold_left(self, servers: Sequence[str], now: float) -> float:
+    def max_backoff_remaining_s(self, servers: Sequence[str], now: float) -> float:
         """Return the seconds for which the last of the servers is held."""
         return max(
-            (max(0.0, self.held_until.get(name, now) - now) for name in servers),
+            (max(0.0, self.backoff_until.get(name, now) - now) for name in servers),
             default=0.0,
         )
 
@@ -86,5 +88,5 @@
                 suspected=self.suspected(server.name, now),
             )
             for server in servers
-            if self.held_until.get(server.name, now) <= now
+            if self.backoff_until.get(server.name, now) <= now
         )
--- a/src/cassiaford/policy/_share.py
+++ b/src/cassiaford/policy/_share.py
@@ -6,7 +6,12 @@
 
 from cassiaford.policy._buckets import Bucket
 from cassiaford.policy._owners import Holder
-from cassiaford.policy._share_messages import Ask, Grant, Returned, Send
+from cassiaford.policy._share_messages import (
+    LoanGrant,
+    LoanRequest,
+    ReturnedLoan,
+    SendShareMessage,
+)
 
 LOAN_S = 0.6
 # The owner counts a loan this much longer, for clocks that run apart.
@@ -153,8 +158,8 @@
     # Lending and borrowing.
 
     def lend(
-        self, borrower: Holder, ask: Ask, use_own: bool, fresh: bool, now: float
-    ) -> Grant:
+        self, borrower: Holder, ask: LoanRequest, use_own: bool, fresh: bool, now: float
+    ) -> LoanGrant:
         """Take back what is returned and lend what is asked for, if there.
 
         An ask that is not `fresh` may have come before: it is not refunded.
@@ -175,9 +180,9 @@
             self.lent[key] = Lent(tokens, now + LOAN_S + LOAN_MARGIN_S)
             self.resize(now)
         level = max(0.0, self.bucket.level) if use_own else 0.0
-        return Grant(self.customer, ask.loan, tokens, level)
+        return LoanGrant(self.customer, ask.loan, tokens, level)
 
-    def borrow(self, owner: str, grant: Grant, now: float) -> None:
+    def borrow(self, owner: str, grant: LoanGrant, now: float) -> None:
         """Take in a loan, unless it is late, doubled, or was not asked for."""
         asked = self.asks.get(grant.loan)
         if asked is None or asked[0] != owner:
@@ -193,7 +198,7 @@
 
     def ask(
         self, tokens: float, use_own: bool, numbers: Iterator[int], now: float
-    ) -> tuple[Send, ...]:
+    ) -> tuple[SendShareMessage, ...]:
         """Return requests for what a charge lacks; none if it is out of reach."""
         held = self.held(use_own)
         if self.known(now) + held < tokens and self._views_are_fresh(now):
@@ -210,12 +215,14 @@
             sends.append(self._ask_one(name, wanted, numbers, now))
         return tuple(sends)
 
-    def give_back(self, numbers: Iterator[int], now: float) -> tuple[Send, ...]:
+    def give_back(
+        self, numbers: Iterator[int], now: float
+    ) -> tuple[SendShareMessage, ...]:
         """Return spent and idle loans, and refunds, to the owners."""
         for loan in list(self.loans):
             if loan.tokens <= 0 or now >= loan.used_at + IDLE_LOAN_S:
                 self.loans.remove(loan)
-                returned = Returned(loan.number, max(0.0, loan.tokens))
+                returned = ReturnedLoan(loan.number, max(0.0, loan.tokens))
                 self.returns.setdefault(loan.owner, []).append(returned)
         names = list(self.returns)
         if self.refunds > 0:
@@ -256,7 +263,9 @@
         refund = 0.0
         if name in self.others:
             refund, self.refunds = self.refunds, 0.0
-        return Send(name, Ask(self.customer, number, tokens, refund, returned))
+        return SendShareMessage(
+            name, LoanRequest(self.customer, number, tokens, refund, returned)
+        )
 
     def _level_of(self, name, now):
         view = self.others[name]
--- a/src/cassiaford/policy/_share_messages.py
+++ b/src/cassiaford/policy/_share_messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Returned:
+class ReturnedLoan:
     """A loan that the borrower has given up, with the tokens it did not use."""
 
     loan: int
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class LoanRequest:
     """Asks an owner for tokens of a customer.
 
     The borrower never uses a `loan` number twice and sends rising ones.
@@ -26,11 +26,11 @@
     loan: int
     tokens: float
     refund: float = 0.0
-    returned: tuple[Returned, ...] = ()
+    returned: tuple[ReturnedLoan, ...] = ()
 
 
 @dataclass(frozen=True)
-class Grant:
+class LoanGrant:
     """Lends tokens, perhaps none; `level` is what the owner has left."""
 
     customer: str
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Poll:
+class LedgerPoll:
     """Tells the epoch of the sender's ledger and asks for the receiver's.
 
     `number` comes back in the answer, so that an answer from before a pause
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class LedgerReport:
     """Tells the epoch that the sender acts by, in answer to a poll.
 
     `ledger` is set if the asking instance's epoch was lower. `sure` is false
@@ -61,15 +61,15 @@
 
     number: int
     epoch: int
-    sure: bool
+    confirmed: bool
     ledger: Ledger | None = None
 
 
-ShareMessage = Ask | Grant | Poll | Report
+ShareMessage = LoanRequest | LoanGrant | LedgerPoll | LedgerReport
 
 
 @dataclass(frozen=True)
-class Send:
+class SendShareMessage:
     """Asks the shell to send a message to an instance."""
 
     instance: str
--- a/src/cassiaford/policy/_shares.py
+++ b/src/cassiaford/policy/_shares.py
@@ -31,11 +31,11 @@
 )
 from cassiaford.policy._share import LOAN_MARGIN_S, LOAN_S, Limit, Share
 from cassiaford.policy._share_messages import (
-    Ask,
-    Grant,
-    Poll,
-    Report,
-    Send,
+    LedgerPoll,
+    LedgerReport,
+    LoanGrant,
+    LoanRequest,
+    SendShareMessage,
     ShareMessage,
 )
 
@@ -51,7 +51,7 @@
 NO_LIMIT = Limit(1.0, 0.0)
 
 
-class ShareBook:
+class RateShares:
     """The shares of one instance for all customers.
 
     Times are in seconds on the instance's monotonic clock. Call `tick`
@@ -69,8 +69,8 @@
         self._busy = set()
         self._swept_at = now
         self.founder = False
-        self.settled = False
-        self.wants_growth = False
+        self.converged = False
+        self.awaits_growth = False
         self.suspended = False
         self.left = False
         self.gone = {}
@@ -92,7 +92,9 @@
         if customer in self.limits:
             self._current(customer, now).refund(tokens, now)
 
-    def ask(self, customer: str, tokens: float, now: float) -> tuple[Send, ...]:
+    def request_loans(
+        self, customer: str, tokens: float, now: float
+    ) -> tuple[SendShareMessage, ...]:
         """Return requests for the tokens that a charge lacks.
 
         Returns nothing if the owners are known to have too little together.
@@ -100,7 +102,7 @@
         share = self._current(customer, now)
         return share.ask(tokens, not self.suspended, self._numbers, now)
 
-    def awaits_answer(self, customer: str, now: float) -> bool:
+    def awaits_reply(self, customer: str, now: float) -> bool:
         """Return whether an owner's answer is still to be expected."""
         return self._current(customer, now).awaits_answer(now)
 
@@ -115,22 +117,24 @@
 
     def receive(
         self, sender: Holder, message: ShareMessage, now: float
-    ) -> tuple[Send, ...]:
+    ) -> tuple[SendShareMessage, ...]:
         """Take in a message and return the answers to it."""
         match message:
-            case Ask():
+            case LoanRequest():
                 return self._on_ask(sender, message, now)
-            case Grant():
+            case LoanGrant():
                 if message.customer in self.limits:
                     share = self._current(message.customer, now)
                     share.borrow(sender.instance, message, now)
-            case Poll():
+            case LedgerPoll():
                 return self._on_poll(sender, message)
-            case Report():
+            case LedgerReport():
                 self._on_report(sender, message, now)
         return ()
 
-    def tick(self, now: float, peers: Iterable[str] = ()) -> tuple[Send, ...]:
+    def tick(
+        self, now: float, peers: Iterable[str] = ()
+    ) -> tuple[SendShareMessage, ...]:
         """Do what is due; `peers` can tell the ledger if the service cannot."""
         self._check_pause(now)
         self.last_tick = now
@@ -166,11 +170,11 @@
                 share = self._share(name, now)
                 share.limit = limit
                 share.resize(now)
-                if name not in known and self.settled:
+                if name not in known and self.converged:
                     self._fill(share, now, full=self.founder or bool(known))
-        self.wants_growth = self._has_to_gain()
+        self.awaits_growth = self._has_to_gain()
 
-    def adopt(self, ledger: Ledger, now: float) -> bool:
+    def apply_ledger(self, ledger: Ledger, now: float) -> bool:
         """Act by a ledger if it is later than the present one."""
         if ledger.epoch <= self.ledger.epoch:
             return False
@@ -178,24 +182,24 @@
         self.table.update(self.limits, self._names())
         self.reports.restart(ledger)
         self.founder = False
-        self.settled = False
+        self.converged = False
         for name, share in self.shares.items():
             share.fraction = min(share.fraction, self._owned(name))
             share.set_owners(self.table.owners(name), self.holder.instance, now)
             share.resize(now)
-        self.wants_growth = self._has_to_gain()
+        self.awaits_growth = self._has_to_gain()
         return True
 
     def found(self, ledger: Ledger, now: float) -> None:
         """Begin as the only holder of the first ledger, with full buckets."""
-        self.adopt(ledger, now)
+        self.apply_ledger(ledger, now)
         self.founder = True
-        self.settled = True
+        self.converged = True
         for name in self.limits:
             self._fill(self._share(name, now), now, full=True)
-        self.wants_growth = False
+        self.awaits_growth = False
 
-    def confirm(self, ledger: Ledger, read_at: float, now: float) -> None:
+    def apply_service_ledger(self, ledger: Ledger, read_at: float, now: float) -> None:
         """Take in the ledger as the service has it.
 
         `read_at` is when the reading began: only a reading that began after
@@ -205,7 +209,7 @@
         if self._is_own_first(ledger):
             self.found(ledger, now)
         else:
-            self.adopt(ledger, now)
+            self.apply_ledger(ledger, now)
         if read_at >= self._woke_at:
             self.suspended = False
 
@@ -242,10 +246,10 @@
             share.fraction = 0.0
             share.resize(now)
 
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the ledger is settled and all its holders are heard."""
         known = self.holder in self.ledger.holders
-        return known and self.settled and not self.reports.missing(self.ledger)
+        return known and self.converged and not self.reports.missing(self.ledger)
 
     def check_pause(self, now: float) -> bool:
         """Return whether the instance was paused and lacks word since."""
@@ -311,26 +315,32 @@
 
     def _on_ask(self, sender, ask, now):
         if ask.customer not in self.limits:
-            return (Send(sender.instance, Grant(ask.customer, ask.loan, 0.0, 0.0)),)
+            return (
+                SendShareMessage(
+                    sender.instance, LoanGrant(ask.customer, ask.loan, 0.0, 0.0)
+                ),
+            )
         fresh = ask.loan > self._last_asks.get(sender, 0)
         if fresh:
             self._last_asks[sender] = ask.loan
         share = self._current(ask.customer, now)
         grant = share.lend(sender, ask, not self.suspended, fresh, now)
-        return (Send(sender.instance, grant),) if ask.tokens > 0 else ()
+        return (SendShareMessage(sender.instance, grant),) if ask.tokens > 0 else ()
 
     def _on_poll(self, sender, poll):
         ledger = self.ledger if self.ledger.epoch > poll.epoch else None
-        report = Report(poll.number, self.ledger.epoch, not self.suspended, ledger)
-        sends = [Send(sender.instance, report)]
+        report = LedgerReport(
+            poll.number, self.ledger.epoch, not self.suspended, ledger
+        )
+        sends = [SendShareMessage(sender.instance, report)]
         if poll.epoch > self.ledger.epoch:
             poll = self.reports.next_poll(self.ledger.epoch)
-            sends.append(Send(sender.instance, poll))
+            sends.append(SendShareMessage(sender.instance, poll))
         return tuple(sends)
 
     def _on_report(self, sender, report, now):
         if report.ledger is not None:
-            self.adopt(report.ledger, now)
+            self.apply_ledger(report.ledger, now)
         self.reports.note(sender, report)
         if self.suspended and self.reports.confirmed(self.ledger):
             self.suspended = False
@@ -340,7 +350,7 @@
         if not wanted or not self.reports.poll_due(now):
             return []
         poll = self.reports.next_poll(self.ledger.epoch)
-        return [Send(instance, poll) for instance in wanted]
+        return [SendShareMessage(instance, poll) for instance in wanted]
 
     def _to_poll(self, peers, now):
         own = self.holder.instance
@@ -351,20 +361,20 @@
             return [name for name in ranked if name != own][:PEERS_TO_ASK]
         if self.suspended:
             return [name for name in self._names() if name != own]
-        if self.wants_growth:
+        if self.awaits_growth:
             return names_of(self.reports.missing(self.ledger))
         return []
 
     # Growth and pauses.
 
     def _grow(self, now):
-        if not self.wants_growth or self.suspended:
+        if not self.awaits_growth or self.suspended:
             return
         complete_s = self.reports.complete_for(self.ledger, now)
         if self.reports.complete_since is None or complete_s < LOANS_LAPSED_S:
             return
-        self.settled = True
-        self.wants_growth = False
+        self.converged = True
+        self.awaits_growth = False
         for name in self.limits:
             if self._owned(name):
                 self._fill(self._share(name, now), now, full=False)
--- a/src/cassiaford/policy/_suspects.py
+++ b/src/cassiaford/policy/_suspects.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Cleared:
+class ClearedFingerprint:
     """A fingerprint that completed, and the crashes it is cleared of."""
 
     fingerprint: str
@@ -48,11 +48,11 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class SuspicionRequest:
     """Asks a peer for every suspicion that it has."""
 
 
-SuspectMessage = CrashReport | Cleared | Wanted
+SuspectMessage = CrashReport | ClearedFingerprint | SuspicionRequest
 
 
 @dataclass
@@ -63,16 +63,16 @@
     last_at: float
 
 
-class SuspectBook:
+class SuspectTracker:
     """What one instance knows of the requests that may crash servers.
 
     Times are in seconds on the instance's monotonic clock.
 
     Examples
     --------
-    >>> book = SuspectBook()
+    >>> book = SuspectTracker()
     >>> for server in ("engine-1", "engine-2"):
-    ...     book.report(Crash(server, "1"), ("f",), 0.0)
+    ...     book.record_crash(Crash(server, "1"), ("f",), 0.0)
     >>> book.is_refused("f", 0.0)
     True
     """
@@ -81,13 +81,17 @@
         self.suspicions = collections.OrderedDict()
         self._void = collections.OrderedDict()
 
-    def report(self, crash: Crash, fingerprints: tuple[str, ...], now: float) -> None:
+    def record_crash(
+        self, crash: Crash, fingerprints: tuple[str, ...], now: float
+    ) -> None:
         """Take note of the requests that were running where a server crashed."""
         for fingerprint in fingerprints:
             if (fingerprint, crash) not in self._void:
                 self._suspect(fingerprint, crash, now)
 
-    def completed(self, fingerprint: str, now: float) -> Cleared | None:
+    def record_completion(
+        self, fingerprint: str, now: float
+    ) -> ClearedFingerprint | None:
         """Take note of a completion; return what peers should be told, if any.
 
         A fingerprint that is refused stays so: a run that ends late is no
@@ -96,11 +100,11 @@
         if not self.is_suspect(fingerprint, now) or self.is_refused(fingerprint, now):
             return None
         crashes = self.suspicions[fingerprint].crashes
-        cleared = Cleared(fingerprint, tuple(crashes))
+        cleared = ClearedFingerprint(fingerprint, tuple(crashes))
         self.clear(cleared)
         return cleared
 
-    def clear(self, cleared: Cleared) -> None:
+    def clear(self, cleared: ClearedFingerprint) -> None:
         """Void crashes of a fingerprint, also those that are yet to be told."""
         for crash in cleared.crashes:
             self._void[cleared.fingerprint, crash] = True
@@ -120,7 +124,7 @@
         """Return whether a request was present at too many crashes."""
         return self._count(fingerprint, now) >= CRASHES_TO_REFUSE
 
-    def reports(self) -> tuple[CrashReport, ...]:
+    def crash_reports(self) -> tuple[CrashReport, ...]:
         """Return every suspicion, for a peer that has just started."""
         by_crash = collections.defaultdict(list)
         for fingerprint, suspicion in self.suspicions.items():
--- a/src/cassiaford/timeline/__init__.py
+++ b/src/cassiaford/timeline/__init__.py
@@ -4,10 +4,10 @@
 from cassiaford.timeline._document import (
     BadRecordError,
     GatheredRecord,
-    gathered,
     merge,
     parse_record,
     record_document,
+    to_gathered_record,
 )
 from cassiaford.timeline._journal import Detail, Journal, Record, Subject
 from cassiaford.timeline._log_lines import read_log_lines
@@ -22,7 +22,7 @@
     "Record",
     "Subject",
     "Timestamp",
-    "gathered",
+    "to_gathered_record",
     "html_page",
     "merge",
     "parse_record",
--- a/src/cassiaford/timeline/_document.py
+++ b/src/cassiaford/timeline/_document.py
@@ -36,7 +36,7 @@
     """A document that is not a record."""
 
 
-def gathered(record: Record) -> GatheredRecord:
+def to_gathered_record(record: Record) -> GatheredRecord:
     """Return a record of this process in the form in which it travels."""
     return GatheredRecord(
         wall_ms=record.timestamp.wall_ms,
--- a/src/cassiaford/verdict/_failure.py
+++ b/src/cassiaford/verdict/_failure.py
@@ -23,7 +23,7 @@
         Verdict.NOT_RUN,
         RefusalReason.BAD_REQUEST,
     )
-    LATE_START = (
+    START_DEADLINE_PASSED = (
         "the time by which the request had to start has passed",
         Verdict.NOT_RUN,
         RefusalReason.DEADLINE,
@@ -38,12 +38,12 @@
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
     )
-    RESET_BEFORE_ANSWER = (
+    RESET_BEFORE_RESPONSE = (
         "the connection broke before the answer",
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
     )
-    RESET_IN_ANSWER = (
+    RESET_DURING_RESPONSE = (
         "the connection broke within the answer",
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
@@ -58,7 +58,7 @@
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_TIMEOUT,
     )
-    SILENT = (
+    IDLE_TIMEOUT = (
         "the connection fell silent within the answer",
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_TIMEOUT,
@@ -73,17 +73,17 @@
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
     )
-    SHORT_ANSWER = (
+    TRUNCATED_RESPONSE = (
         "the answer ended before it was complete",
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
     )
-    BROKEN_ANSWER = (
+    INVALID_RESPONSE = (
         "the answer was not valid HTTP",
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
     )
-    CROSSED_ANSWER = (
+    MISMATCHED_RESPONSE = (
         "the answer belonged to another request",
         Verdict.MAY_HAVE_RUN,
         RefusalReason.BACKEND_FAILED,
@@ -115,26 +115,26 @@
         return self.value[2]
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Whether no other server could do better."""
         return self in _FINAL_FAILURES
 
     @property
-    def blames_server(self) -> bool:
+    def suspects_server(self) -> bool:
         """Whether the server's other connections are doubtful too."""
         return self in _SERVER_FAILURES
 
 
 _FINAL_FAILURES = frozenset(
-    {Failure.UNSENDABLE, Failure.LATE_START, Failure.REQUEST_TIMEOUT}
+    {Failure.UNSENDABLE, Failure.START_DEADLINE_PASSED, Failure.REQUEST_TIMEOUT}
 )
 _SERVER_FAILURES = frozenset(
     {
         Failure.CONNECT_FAILED,
         Failure.SEND_FAILED,
-        Failure.RESET_BEFORE_ANSWER,
-        Failure.RESET_IN_ANSWER,
+        Failure.RESET_BEFORE_RESPONSE,
+        Failure.RESET_DURING_RESPONSE,
         Failure.FIRST_BYTE_TIMEOUT,
-        Failure.SILENT,
+        Failure.IDLE_TIMEOUT,
     }
 )
--- a/tests/claim_schedule.py
+++ b/tests/claim_schedule.py
@@ -9,7 +9,7 @@
     ReadSegment,
     ReadShard,
     RecordedOutcome,
-    ShardBook,
+    ShardClaims,
     ShardState,
     WriteSegment,
     WriteShard,
@@ -34,7 +34,7 @@
 class Instance:
     """One instance's book, its call under way, and the claims it was granted."""
 
-    book: ShardBook
+    book: ShardClaims
     incarnation: int
     call: Call | None = None
     granted: list = field(default_factory=list)
@@ -63,7 +63,7 @@
 
     def new_instance(self, name, incarnation):
         # Every ended claim is sealed at once.
-        book = ShardBook("00", name, incarnation, seal_bytes=100)
+        book = ShardClaims("00", name, incarnation, seal_bytes=100)
         return Instance(book, incarnation)
 
     def run(self):
@@ -166,9 +166,9 @@
         else:
             swapped, state, version = call.result
             if swapped:
-                self.take(instance, book.on_written(version))
+                self.take(instance, book.on_shard_written(version))
             else:
-                self.take(instance, book.on_read(state, version, self.now))
+                self.take(instance, book.on_shard_read(state, version, self.now))
 
     def lose_answer(self, name, instance):
         """Lose an answer; a call not yet performed may still take effect."""
@@ -178,7 +178,7 @@
         if call.result is None:
             self.late_calls.append(call)
         instance.call = None
-        instance.book.on_unknown()
+        instance.book.on_unknown_outcome()
 
     def perform_late(self, name, instance):
         if self.late_calls:
@@ -220,7 +220,7 @@
 
     def record(self, instance, claim, verdict):
         record = ended_record(claim, verdict, 200, "text/plain", b"done", self.now)
-        instance.book.end(record)
+        instance.book.record_outcome(record)
 
     def take(self, instance, settled):
         for item in settled:
@@ -248,7 +248,7 @@
         _, record = self.forwarded.pop(item.nonce, (None, None))
         if record is None:
             if isinstance(item.answer, Claim):
-                origin.book.disown(item.nonce)
+                origin.book.reject_ownership(item.nonce)
             return False
         if self.is_unavailable(item.answer):
             origin.book.release(record)
--- a/tests/dispatcher_case.py
+++ b/tests/dispatcher_case.py
@@ -25,7 +25,7 @@
         free.sort(key=lambda server: server.suspected)
         return Placement(free[0].name) if free else None
 
-    def finished(self, request_id, now):
+    def record_end(self, request_id, now):
         self.finished_ids.append(request_id)
 
 
@@ -141,5 +141,9 @@
         self.assertEqual(setup.outcomes.doubled, [])
         self.assertEqual(setup.dispatcher.in_flight, 0)
         self.assertEqual(setup.dispatcher.health.in_flight, {})
-        faults = [r for r in setup.journal.snapshot() if r.event is Event.THREAD_FAILED]
+        faults = [
+            r
+            for r in setup.journal.snapshot()
+            if r.event is Event.BACKGROUND_TASK_FAILED
+        ]
         self.assertEqual(faults, [])
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -156,19 +156,19 @@
     return data
 
 
-def refused_address():
+def unused_address():
     """Return an address on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def token(number, text=None, finish=None):
+def token_event(number, text=None, finish=None):
     """Return a completion's event."""
     choice = {"index": 0, "text": text or f"t{number} ", "finish_reason": finish}
     return b"data: " + json.dumps({"choices": [choice]}).encode() + b"\n\n"
 
 
-def usage(prompt=5, output=7):
+def usage_event(prompt=5, output=7):
     """Return the usage event at the end of a stream."""
     counts = {"prompt_tokens": prompt, "completion_tokens": output}
     return b"data: " + json.dumps({"choices": [], "usage": counts}).encode() + b"\n\n"
--- a/tests/platform_case.py
+++ b/tests/platform_case.py
@@ -12,9 +12,9 @@
     Gateway,
     GatewayAddresses,
     GatewaySettings,
-    ResendLimits,
+    RetryLimits,
 )
-from cassiaford.platform import create_world
+from cassiaford.platform import create_adapter
 from standins.platform_store import PlatformStore
 from standins.platform_worker import PlatformWorker
 
@@ -125,13 +125,13 @@
             data_centre="a",
             addresses=GatewayAddresses(*(f"127.0.0.1:{free_port()}" for _ in range(5))),
             store_address=self.store.address,
-            resends=ResendLimits(ratio=0.2, slack=50, window_s=10),
+            retry_limits=RetryLimits(ratio=0.2, slack=50, window_s=10),
             rate_window_s=8.0,
             weights_within_s=6.0,
             drain_s=fields.pop("drain_s", 4.0),
             directory_ttl_s=1.0,
         )
-        world = create_world(self.store.address, ConnectionPool())
+        world = create_adapter(self.store.address, ConnectionPool())
         gateway = Gateway(settings, world, random.Random(name))
         task = asyncio.create_task(gateway.run())
         self.gateways.append(gateway)
--- a/tests/stream_scripts.py
+++ b/tests/stream_scripts.py
@@ -1,8 +1,8 @@
 """What fake servers send as streams, in several tests."""
 
-from tests.fakes import DONE, token
+from tests.fakes import DONE, token_event
 
-EVENTS = [token(number) for number in range(6)]
+EVENTS = [token_event(number) for number in range(6)]
 WHOLE = b"".join(EVENTS) + DONE
 
 
--- a/tests/test_bounded_log.py
+++ b/tests/test_bounded_log.py
@@ -5,15 +5,15 @@
 import sys
 import unittest
 
-from cassiaford.logs import BoundedStream
+from cassiaford.logs import NonBlockingStream
 
 
-class BoundedStreamTest(unittest.TestCase):
+class NonBlockingStreamTest(unittest.TestCase):
     def setUp(self):
         self.reader, writer = os.pipe()
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, writer)
-        self.stream = BoundedStream(writer)
+        self.stream = NonBlockingStream(writer)
 
     def fill(self):
         while not self.stream.dropped:
@@ -30,9 +30,9 @@
 
     def test_a_process_that_logs_to_it_ends_without_an_error(self):
         program = (
-            "from cassiaford.logs import BoundedStream, Level, configure_logging,"
+            "from cassiaford.logs import NonBlockingStream, Level, configure_logging,"
             " write_line\n"
-            "configure_logging('json', 'info', BoundedStream(1))\n"
+            "configure_logging('json', 'info', NonBlockingStream(1))\n"
             "write_line(Level.INFO, 'the end', {})\n"
         )
         result = subprocess.run(
@@ -60,7 +60,7 @@
     def test_a_reader_that_is_gone_is_no_error(self):
         reader, writer = os.pipe()
         os.close(reader)
-        stream = BoundedStream(writer)
+        stream = NonBlockingStream(writer)
         stream.write("lost\n")
         os.close(writer)
         self.assertEqual(stream.dropped, 1)
--- a/tests/test_claim_registry.py
+++ b/tests/test_claim_registry.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from cassiaford.fleet import create_claims, shard_of
+from cassiaford.fleet import create_claim_registry, shard_of
 from cassiaford.fleet._claim_messages import (
     ClaimAnswered,
     ClaimMessageError,
@@ -48,7 +48,7 @@
         clock = HybridClock(time.time)
         journal = Journal(instance, incarnation, clock, write=lambda *line: None)
         transport = self.transports.get(instance)
-        registry = create_claims(
+        registry = create_claim_registry(
             self.key_value, journal, instance, incarnation, transport=transport
         )
         self.registries.append(registry)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,7 +6,7 @@
 from cassiaford.policy import (
     ClaimRecord,
     ClaimState,
-    ShardBook,
+    ShardClaims,
     ShardState,
     WriteShard,
 )
@@ -72,8 +72,8 @@
 
 class ShardBookTest(unittest.TestCase):
     def book(self):
-        book = ShardBook("00", "entry-1", 2)
-        book.on_read(ShardState(), 0, 0.0)
+        book = ShardClaims("00", "entry-1", 2)
+        book.on_shard_read(ShardState(), 0, 0.0)
         return book
 
     def record(self, **changes):
@@ -93,7 +93,7 @@
         own = {"nonce": "n2", "instance": "entry-1", "incarnation": 2}
         book.submit(self.record(**(own | changes)), 0.0)
         book.mark_gone("entry-3", 4)
-        (settled,) = book.on_read(
+        (settled,) = book.on_shard_read(
             ShardState({KEYS[0]: standing}), 1, changes.get("written_at", 0.0)
         )
         return settled.answer
@@ -128,7 +128,7 @@
             for n in range(800_000 // size + 1)
         }
         book.submit(self.record(nonce="n2", instance="entry-1"), 100.0)
-        (settled,) = book.on_read(ShardState(records), 1, 100.0)
+        (settled,) = book.on_shard_read(ShardState(records), 1, 100.0)
         self.assertIs(settled.answer.reason, RefusalReason.CLAIMS_UNAVAILABLE)
         self.assertAlmostEqual(settled.answer.retry_after_s, 860.0)
 
@@ -136,7 +136,7 @@
         book = self.book()
         book.submit(self.record(instance="entry-1"), 5.0)
         book.next_step(0.0)
-        (settled,) = book.on_written(1)
+        (settled,) = book.on_shard_written(1)
         self.assertTrue(settled.answer.may_start(65.0))
         self.assertFalse(settled.answer.may_start(65.1))
 
@@ -145,7 +145,7 @@
         book = self.book()
         book.submit(self.record(instance="entry-2"), 0.0)
         book.next_step(0.0)
-        book.on_unknown()
+        book.on_unknown_outcome()
         book.refuse_all(1.0)
         self.assertFalse(book.changes)
 
@@ -154,7 +154,7 @@
         ended = self.record(
             instance="entry-1", state=ClaimState.ENDED, verdict=Verdict.RAN
         )
-        book.on_read(ShardState({KEYS[0]: ended}), 1, 0.0)
+        book.on_shard_read(ShardState({KEYS[0]: ended}), 1, 0.0)
         book.release(ended)
         self.assertIn(KEYS[0], book.next_step(0.0).state.records)
 
@@ -163,7 +163,7 @@
         book = self.book()
         book.release(self.record(instance="entry-1"))
         self.assertIsInstance(book.next_step(0.0), WriteShard)
-        book.on_written(1)
+        book.on_shard_written(1)
         self.assertIsNone(book.next_step(0.0))
 
     def test_a_claim_granted_here_is_not_disowned(self):
@@ -171,8 +171,8 @@
         record = self.record(instance="entry-1")
         book.submit(record, 0.0, forwarded=True)
         book.next_step(0.0)
-        book.on_written(1)
-        book.disown(record.nonce)
+        book.on_shard_written(1)
+        book.reject_ownership(record.nonce)
         self.assertFalse(book.changes)
 
 
--- a/tests/test_engine_queue.py
+++ b/tests/test_engine_queue.py
@@ -4,7 +4,12 @@
 import statistics
 import unittest
 
-from cassiaford.gateway.policy import EngineBook, EngineView, Generation, PlacedWork
+from cassiaford.gateway.policy import (
+    EnginePlacer,
+    EngineView,
+    GenerationRequest,
+    PlacedWork,
+)
 from cassiaford.gateway.policy._engine_queue import EngineQueue
 from cassiaford.gateway.policy._reading_speed import ReadingSpeed
 from tests.event_replay import EventReplay
@@ -32,7 +37,7 @@
     def __init__(self, seed):
         super().__init__()
         self.rng = random.Random(seed)
-        self.books = [EngineBook() for _ in range(INSTANCES)]
+        self.books = [EnginePlacer() for _ in range(INSTANCES)]
         self.free_at = 0.0
         self.errors = []
         for number, _book in enumerate(self.books):
@@ -45,7 +50,7 @@
     def arrive(self, now, number):
         book = self.books[number]
         tokens = self.rng.randrange(1000, 15_000)
-        request = Generation(f"r{next(self.count)}", (), tokens, 50)
+        request = GenerationRequest(f"r{next(self.count)}", (), tokens, 50)
         placement = book.place(request, [ENGINE], now, self.rng)
         book.started(request, placement, now)
         missed = self.rng.random() < MISSED_SHARE
@@ -67,7 +72,7 @@
         work, speed = book.own_work(), book.speed.learned
         for peer in self.books:
             if peer is not book:
-                peer.hear(f"i{number}", work, True, now)
+                peer.update_from_peer(f"i{number}", work, True, now)
                 peer.speed.hear(f"i{number}", speed)
 
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -321,7 +321,7 @@
         self.observer.observe_load = fail
         self.poll("a")
         wait_until(lambda: len(self.observer.loads) >= 3)
-        self.assertIn("THREAD_FAILED", self.events())
+        self.assertIn("BACKGROUND_TASK_FAILED", self.events())
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,8 +109,8 @@
         self.write(RemoveKey(key.key_id))
         wait_for(lambda: all(store.current.revision == 2 for store in stores))
         self.assertFalse(any(store.current.keys for store in stores))
-        wait_for(lambda: all(store.fresh(time.monotonic()) for store in stores))
-        wait_for(lambda: all(store.ready() for store in stores))
+        wait_for(lambda: all(store.is_fresh(time.monotonic()) for store in stores))
+        wait_for(lambda: all(store.is_ready() for store in stores))
 
     def assert_learns_of_a_withdrawal(self, key_value):
         fleets = self.start_fleet(3)
@@ -121,7 +121,7 @@
         wait_for(lambda: key.key_id in store.current.keys)
         self.write(RemoveKey(key.key_id))
         wait_for(lambda: key.key_id not in store.current.keys)
-        wait_for(lambda: store.fresh(time.monotonic()))
+        wait_for(lambda: store.is_fresh(time.monotonic()))
 
     def test_an_instance_cut_from_the_service_learns_of_a_withdrawal(self):
         unreachable = FakeKeyValueService()
@@ -141,19 +141,19 @@
         wait_for(lambda: all(f.configuration.current.revision == 1 for f in fleets))
         self.key_value.set_down(True)
         late = self.start("entry-9", [fleets[1].sockets.address])
-        self.assertFalse(late.configuration.ready())
-        wait_for(lambda: late.configuration.ready())
+        self.assertFalse(late.configuration.is_ready())
+        wait_for(lambda: late.configuration.is_ready())
         self.assertIn("academy", late.configuration.current.customers)
-        wait_for(lambda: late.configuration.fresh(time.monotonic()))
+        wait_for(lambda: late.configuration.is_fresh(time.monotonic()))
 
     def test_an_instance_alone_in_an_outage_becomes_stale(self):
         alone = self.start("entry-0")
         store = alone.configuration
-        wait_for(lambda: store.fresh(time.monotonic()))
+        wait_for(lambda: store.is_fresh(time.monotonic()))
         self.key_value.set_down(True)
-        wait_for(lambda: not store.fresh(time.monotonic()))
+        wait_for(lambda: not store.is_fresh(time.monotonic()))
         self.key_value.set_down(False)
-        wait_for(lambda: store.fresh(time.monotonic()))
+        wait_for(lambda: store.is_fresh(time.monotonic()))
 
     def test_the_log_is_trimmed_and_a_newcomer_still_learns_all(self):
         fleets = self.start_fleet(3)
@@ -189,9 +189,9 @@
 
     def test_a_leaving_instance_is_no_longer_named_to_callers(self):
         fleets = self.start_fleet(3)
-        wait_for(lambda: len(fleets[0].entries("academy", "cluj")) == 3)
+        wait_for(lambda: len(fleets[0].entry_instances("academy", "cluj")) == 3)
         fleets[2].leave()
-        wait_for(lambda: len(fleets[0].entries("academy", "cluj")) == 2)
+        wait_for(lambda: len(fleets[0].entry_instances("academy", "cluj")) == 2)
         self.assertEqual(len(fleets[0].members()), 3)
         fleets[2].stop()
         wait_for(lambda: len(fleets[0].members()) == 2)
@@ -208,7 +208,9 @@
             InstanceRecord("entry-0", 1, "cluj", "", first.sockets.address, True)
         ]
         second.instance_list._fetch_once()
-        named = [member.instance for member in second.entries("academy", "cluj")]
+        named = [
+            member.instance for member in second.entry_instances("academy", "cluj")
+        ]
         self.assertEqual(named, ["entry-1"])
 
     def test_an_instance_with_another_secret_stays_outside(self):
--- a/tests/test_fleet_rates.py
+++ b/tests/test_fleet_rates.py
@@ -19,7 +19,7 @@
         for name, rates in fleet.items():
             for peer, other in fleet.items():
                 if peer != name and name not in cut and peer not in cut:
-                    other.hear(name, 1, rates.spent(), now)
+                    other.update_from_peer(name, 1, rates.spent(), now)
 
     def press(self, fleet, seconds, tokens, per_instance_s, report_s=0.1, cut=()):
         """Have every instance asked far more than the rate; return what passed."""
@@ -121,7 +121,7 @@
         rates.configure({"academy": Limit(1000.0, 4000.0)}, 0.0)
         while rates.charge("academy", 500, 0.0):
             pass
-        returns = [rates.return_after("academy", 500, 0.0) for _ in range(4)]
+        returns = [rates.retry_after_s("academy", 500, 0.0) for _ in range(4)]
         self.assertEqual(returns, sorted(returns))
         self.assertGreater(returns[3] - returns[0], 1.0)
 
@@ -135,7 +135,7 @@
         rates = FleetRates()
         rates.configure({"academy": Limit(0.001, 4000.0)}, 0.0)
         rates.set_members(["b"], 0.0)
-        rates.hear("b", 1, {"academy": 0}, 0.0)
-        rates.hear("b", 1, {"academy": 100}, 0.0)
-        rates.hear("b", 1, {"academy": 50}, 0.0)
+        rates.update_from_peer("b", 1, {"academy": 0}, 0.0)
+        rates.update_from_peer("b", 1, {"academy": 100}, 0.0)
+        rates.update_from_peer("b", 1, {"academy": 50}, 0.0)
         self.assertAlmostEqual(rates.buckets["academy"].level, 100.0)
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -5,27 +5,27 @@
 
 from cassiaford.gateway import BackendServer
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     EngineView,
-    Generation,
+    GenerationRequest,
     NamedVersions,
     PeerState,
     PeerTable,
     PlacedWork,
     Prefix,
-    RollOut,
+    RetryBudget,
+    Rollout,
     RollOutServer,
     RunTimes,
-    SendBudget,
+    ServerHealth,
     ServerRegistry,
-    ServerTrust,
 )
 
 
 def generation(number, section, own=1000, target_s=0.6):
     """Return a request about a section of the binder."""
     levels = (Prefix(b"binder", 500), Prefix(b"section-%d" % section, 5000))
-    return Generation(f"r{number}", levels, 5000 + own, 40, target_s)
+    return GenerationRequest(f"r{number}", levels, 5000 + own, 40, target_s)
 
 
 def engine_views(count, **fields):
@@ -40,7 +40,7 @@
     def test_instances_agree_on_the_home_of_a_section(self):
         homes = set()
         for seed in range(6):
-            book = EngineBook()
+            book = EnginePlacer()
             placement = book.place(
                 generation(1, 7), engine_views(9), 0.0, random.Random(seed)
             )
@@ -48,7 +48,7 @@
         self.assertEqual(len(homes), 1)
 
     def test_a_section_stays_at_home_under_usual_load(self):
-        book = EngineBook()
+        book = EnginePlacer()
         rng = random.Random(3)
         used = {}
         for number in range(400):
@@ -62,7 +62,7 @@
         self.assertEqual({len(engines) for engines in used.values()}, {1})
 
     def test_a_hot_section_spreads_before_its_home_is_late(self):
-        book = EngineBook()
+        book = EnginePlacer()
         views = engine_views(9, fetch_tokens_per_s=250_000.0)
         rng = random.Random(3)
         engines = set()
@@ -74,7 +74,7 @@
         self.assertGreater(len(engines), 4)
 
     def test_a_spilled_request_names_an_engine_that_holds_its_section(self):
-        book = EngineBook()
+        book = EnginePlacer()
         views = engine_views(3, fetch_tokens_per_s=250_000.0)
         rng = random.Random(1)
         first = book.place(generation(0, 1), views, 0.0, rng)
@@ -85,7 +85,7 @@
         self.assertEqual(spilled.source, first.engine.key)
 
     def test_no_prefix_is_fetched_from_an_engine_of_other_weights(self):
-        book = EngineBook()
+        book = EnginePlacer()
         views = engine_views(3, fetch_tokens_per_s=250_000.0)
         rng = random.Random(1)
         first = book.place(generation(0, 1), views, 0.0, rng)
@@ -96,17 +96,17 @@
         self.assertIsNone(spilled.source)
 
     def test_work_that_peers_placed_makes_an_engine_busy(self):
-        book = EngineBook()
+        book = EnginePlacer()
         views = engine_views(2)
         rng = random.Random(1)
         home = book.place(generation(0, 1), views, 0.0, rng).engine.key
-        book.hear("b", {home: PlacedWork(0, 0, 0)}, True, 0.0)
-        book.hear("b", {home: PlacedWork(180_000, 8, 90_000)}, False, 0.1)
+        book.update_from_peer("b", {home: PlacedWork(0, 0, 0)}, True, 0.0)
+        book.update_from_peer("b", {home: PlacedWork(180_000, 8, 90_000)}, False, 0.1)
         moved = book.place(generation(1, 1), views, 0.1, rng).engine.key
         self.assertNotEqual(moved, home)
 
     def test_an_engine_without_memory_gets_no_request(self):
-        book = EngineBook()
+        book = EnginePlacer()
         view = EngineView("e", "e", 32, 20_000)
         rng = random.Random(1)
         for number in range(3):
@@ -117,17 +117,17 @@
         self.assertIsNone(placement)
 
     def test_new_weights_empty_an_engine(self):
-        book = EngineBook()
+        book = EnginePlacer()
         views = engine_views(3)
         rng = random.Random(1)
         request = generation(0, 1)
         placement = book.place(request, views, 0.0, rng)
         book.started(request, placement, 0.0)
-        book.emptied(placement.engine.key)
-        self.assertEqual(book.homes.engines(request.unit, 0.1), {})
+        book.clear_cached_prefixes(placement.engine.key)
+        self.assertEqual(book.prefix_locations.engines(request.unit, 0.1), {})
 
     def test_the_speed_of_engines_is_learned_from_first_tokens(self):
-        book = EngineBook()
+        book = EnginePlacer()
         views = engine_views(1)
         rng = random.Random(1)
         for number in range(200):
@@ -138,7 +138,7 @@
             took_s = 0.07 + 10_000 / 30_000
             book.first_token(request.request_id, "e0", now + took_s)
             book.ended(request.request_id, "e0")
-            book.emptied("e0")
+            book.clear_cached_prefixes("e0")
         self.assertAlmostEqual(book.speed.tokens_per_s, 30_000, delta=3000)
 
 
@@ -160,7 +160,7 @@
     def play(self, names, load_s, until_s):
         """Play versions named at some times; return loads and each one's lag."""
         named = NamedVersions()
-        roll_out = RollOut(named, within_s=6.0)
+        roll_out = Rollout(named, deadline_s=6.0)
         versions = {f"e{n}": 1 for n in range(9)}
         loading, loads, lag = {}, [], 0.0
         for step in range(round(until_s / 0.1)):
@@ -200,14 +200,14 @@
 
     def test_only_a_third_of_the_engines_is_out_of_use(self):
         named = NamedVersions()
-        roll_out = RollOut(named, within_s=6.0)
+        roll_out = Rollout(named, deadline_s=6.0)
         named.name("m", 2, 0.0)
         roll_out.plan(self.engines({f"e{n}": 1 for n in range(9)}), 0.0)
         self.assertEqual(len(roll_out.held), 3)
 
     def test_requests_on_a_held_engine_begin_before_it_is_ordered(self):
         named = NamedVersions()
-        roll_out = RollOut(named, within_s=6.0)
+        roll_out = Rollout(named, deadline_s=6.0)
         named.name("m", 2, 0.0)
 
         def orders(now, unstarted):
@@ -219,7 +219,7 @@
 
     def test_a_request_that_never_begins_does_not_keep_an_engine_from_its_order(self):
         named = NamedVersions()
-        roll_out = RollOut(named, within_s=6.0)
+        roll_out = Rollout(named, deadline_s=6.0)
         named.name("m", 2, 0.0)
         engines = [RollOutServer("e", "m", 1, 900, 1)]
         self.assertEqual(roll_out.plan(engines, 0.0), [])
@@ -227,40 +227,42 @@
 
     def test_the_first_work_of_a_known_peer_on_an_engine_counts(self):
         engines = [EngineView(f"e{n}", f"e{n}", 8, 100_000) for n in range(2)]
-        book, peer = EngineBook(), EngineBook()
-        book.hear("a", peer.own_work(), True, 0.0)
-        request = Generation("r1", (), 32_000, 10)
+        book, peer = EnginePlacer(), EnginePlacer()
+        book.update_from_peer("a", peer.own_work(), True, 0.0)
+        request = GenerationRequest("r1", (), 32_000, 10)
         placement = peer.place(request, engines, 0.0, random.Random(1))
         peer.started(request, placement, 0.0)
-        book.hear("a", peer.own_work(), False, 0.01)
-        busy = book.place(Generation("r2", (), 500, 4), engines, 0.01, random.Random(1))
+        book.update_from_peer("a", peer.own_work(), False, 0.01)
+        busy = book.place(
+            GenerationRequest("r2", (), 500, 4), engines, 0.01, random.Random(1)
+        )
         self.assertNotEqual(busy.engine, placement.engine)
 
     def test_the_work_that_a_peer_did_before_it_was_known_does_not_count(self):
-        book, peer = EngineBook(), EngineBook()
+        book, peer = EnginePlacer(), EnginePlacer()
         engines = [EngineView("e0", "e0", 8, 100_000)]
-        request = Generation("r1", (), 32_000, 10)
+        request = GenerationRequest("r1", (), 32_000, 10)
         peer.started(request, peer.place(request, engines, 0.0, None), 0.0)
         peer.ended("r1", "e0")
-        book.hear("a", peer.own_work(), True, 60.0)
-        later = book.place(Generation("r2", (), 500, 4), engines, 60.0, None)
+        book.update_from_peer("a", peer.own_work(), True, 60.0)
+        later = book.place(GenerationRequest("r2", (), 500, 4), engines, 60.0, None)
         self.assertLess(later.first_token_s, 0.2)
 
     def test_peers_count_the_requests_that_wait_for_their_first_token(self):
         engines = [EngineView("e0", "e0", 8, 100_000)]
-        book, peer = EngineBook(), EngineBook()
-        request = Generation("r1", (), 1000, 10)
+        book, peer = EnginePlacer(), EnginePlacer()
+        request = GenerationRequest("r1", (), 1000, 10)
         placement = book.place(request, engines, 0.0, random.Random(1))
         book.started(request, placement, 0.0)
-        peer.hear("a", book.own_work(), True, 0.1)
+        peer.update_from_peer("a", book.own_work(), True, 0.1)
         self.assertEqual((book.unstarted("e0"), peer.unstarted("e0")), (1, 1))
         book.first_token("r1", "e0", 0.1)
-        peer.hear("a", book.own_work(), True, 0.2)
+        peer.update_from_peer("a", book.own_work(), True, 0.2)
         self.assertEqual((book.unstarted("e0"), peer.unstarted("e0")), (0, 0))
 
     def test_an_order_without_effect_is_given_again(self):
         named = NamedVersions()
-        roll_out = RollOut(named, within_s=6.0)
+        roll_out = Rollout(named, deadline_s=6.0)
         named.name("m", 2, 0.0)
         engines = self.engines({"e": 1})
         times = [t / 10 for t in range(60) if roll_out.plan(engines, t / 10)]
@@ -269,33 +271,33 @@
 
 class ServerTrustTest(unittest.TestCase):
     def test_a_server_that_fails_part_of_its_requests_costs_more(self):
-        trust = ServerTrust()
+        trust = ServerHealth()
         for number in range(30):
             now = number * 0.1
-            (trust.failed if number % 2 else trust.answered)("grey", now)
-            trust.answered("sound", now)
+            (trust.record_failure if number % 2 else trust.record_success)("grey", now)
+            trust.record_success("sound", now)
         self.assertGreater(trust.cost_s("grey", 3.0), 0.3)
         self.assertEqual(trust.cost_s("sound", 3.0), 0.0)
 
     def test_backoff_grows_and_ends_with_an_answer(self):
-        trust = ServerTrust()
+        trust = ServerHealth()
         for _ in range(4):
             trust.unreachable("dark", 0.0)
         self.assertTrue(trust.away("dark", 2.0))
-        trust.answered("dark", 2.0)
+        trust.record_success("dark", 2.0)
         self.assertFalse(trust.away("dark", 2.0))
 
 
 class SendBudgetTest(unittest.TestCase):
     def test_the_fleet_stays_within_its_budget_when_all_requests_fail(self):
-        budgets = [SendBudget(0.2, 52.0, 10.0) for _ in range(6)]
+        budgets = [RetryBudget(0.2, 52.0, 10.0) for _ in range(6)]
         resends, requests = [], []
         for step in range(6000):
             now = step * 0.005
             budget = budgets[step % 6]
-            budget.request(now)
+            budget.record_request(now)
             requests.append(now)
-            if budget.resend(now, instances=6):
+            if budget.take(now, instances=6):
                 resends.append(now)
         for start in range(0, 20):
             window = [t for t in resends if start <= t < start + 10]
--- a/tests/test_late_requests.py
+++ b/tests/test_late_requests.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     EngineView,
-    Generation,
+    GenerationRequest,
     Placement,
     WaitingPrompts,
     should_wait,
@@ -44,7 +44,7 @@
         super().__init__()
         self.rng = random.Random(seed)
         self.waits = waits
-        self.book = EngineBook()
+        self.book = EnginePlacer()
         self.waiting = WaitingPrompts()
         self.free_at = dict.fromkeys((view.key for view in ENGINES), 0.0)
         self.begun = []
@@ -73,7 +73,7 @@
         return sum(took >= PATIENCE_S for _, took in self.begun)
 
     def look(self, now, name, kind, arrived_at):
-        request = Generation(name, (), kind.tokens, 50, kind.target_s)
+        request = GenerationRequest(name, (), kind.tokens, 50, kind.target_s)
         placement = self.book.place(request, ENGINES, now, self.rng)
         self.waiting.remove(name)
         waiting_s = self.waiting.per_engine_s(1, len(ENGINES))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from cassiaford.policy import (
-    GiveOrder,
+    DesiredVersion,
     Load,
     LoadTable,
     Orderer,
     OrderLimits,
-    Want,
+    SendOrder,
     WriteTable,
 )
 from tests.schedules import seeds
@@ -93,17 +93,17 @@
         for load in self.pending.pop(name, ()):
             self.send(orderer, load, now, calm)
         wants = [
-            Want(server, MODEL, wanted, engine.checks_fencing)
+            DesiredVersion(server, MODEL, wanted, engine.checks_fencing)
             for server, engine in self.engines.items()
         ]
         orderer.configure(wants, now)
         for server, engine in self.engines.items():
-            orderer.observe(server, {MODEL: engine.version}, now)
-        orderer.table_read(self.table, now)
+            orderer.record_report(server, {MODEL: engine.version}, now)
+        orderer.apply_table(self.table, now)
         self.read[name] = self.version
         live = [n for n in self.names if calm or self.rng.random() < 0.9]
         for action in orderer.step(live, now):
-            if isinstance(action, GiveOrder):
+            if isinstance(action, SendOrder):
                 self.pending.setdefault(name, []).append(action.load)
             elif isinstance(action, WriteTable):
                 self.swap(name, action.table, now, calm)
@@ -118,16 +118,16 @@
         self.table, self.version = table, self.version + 1
         lost = not calm and self.rng.random() < 0.3
         if not lost:
-            self.orderers[name].table_read(table, now)
+            self.orderers[name].apply_table(table, now)
 
     def send(self, orderer, load, now, calm):
         if not orderer.may_send(load, now):
             return
-        orderer.order_sent(load, now)
+        orderer.record_order_sent(load, now)
         flight = 0.0 if calm else self.rng.choice((0.0, 0.5, 1.9))
         self.flights.append((now + flight, load))
         if calm or (flight == 0.0 and self.rng.random() < 0.6):
-            orderer.order_answered(load, True)
+            orderer.record_order_reply(load, True)
 
     def land(self, now):
         due = [flight for flight in self.flights if flight[0] <= now]
@@ -163,21 +163,23 @@
 
     def test_the_last_serving_server_is_not_reloaded(self):
         orderer = self.orderer()
-        orderer.configure([Want("a", MODEL, "v2"), Want("b", MODEL, "v2")], 0.0)
-        orderer.observe("a", {MODEL: "v1"}, 5.0)
-        orderer.observe("b", {}, 5.0)
+        orderer.configure(
+            [DesiredVersion("a", MODEL, "v2"), DesiredVersion("b", MODEL, "v2")], 0.0
+        )
+        orderer.record_report("a", {MODEL: "v1"}, 5.0)
+        orderer.record_report("b", {}, 5.0)
         (write,) = orderer.step(["entry-0"], 5.0)
         self.assertEqual([load.server for load in write.table.loads], ["b"])
-        orderer.table_read(write.table, 5.0)
+        orderer.apply_table(write.table, 5.0)
         steps = [a for a in orderer.step(["entry-0"], 5.0) if type(a) is WriteTable]
         self.assertEqual(steps, [])
 
     def test_a_holder_that_wakes_after_its_lease_sends_nothing(self):
         orderer = self.orderer()
-        orderer.configure([Want("a", MODEL, "v2")], 0.0)
-        orderer.observe("a", {}, 5.0)
+        orderer.configure([DesiredVersion("a", MODEL, "v2")], 0.0)
+        orderer.record_report("a", {}, 5.0)
         (write,) = orderer.step(["entry-0"], 5.0)
-        orderer.table_read(write.table, 5.0)
+        orderer.apply_table(write.table, 5.0)
         (give,) = orderer.step(["entry-0"], 5.0)
         self.assertTrue(orderer.may_send(give.load, 7.9))
         self.assertFalse(orderer.may_send(give.load, 8.0))
@@ -187,18 +189,18 @@
         for checks_fencing, over in ((True, True), (False, False)):
             with self.subTest(checks_fencing=checks_fencing):
                 orderer = self.orderer()
-                want = Want("a", MODEL, "v3", checks_fencing)
+                want = DesiredVersion("a", MODEL, "v3", checks_fencing)
                 orderer.configure([want], 0.0)
-                orderer.table_read(LoadTable(1, (load,)), 5.0)
+                orderer.apply_table(LoadTable(1, (load,)), 5.0)
                 (write,) = orderer.step(["entry-0"], 5.0)
                 self.assertEqual(write.table.loads[0].order_id, "load-1")
                 self.assertEqual(write.table.loads[0].fencing, 2)
-                orderer.table_read(write.table, 5.0)
-                orderer.observe("a", {MODEL: "v2"}, 6.0)
+                orderer.apply_table(write.table, 5.0)
+                orderer.record_report("a", {MODEL: "v2"}, 6.0)
                 written = [a.table for a in orderer.step(["entry-0"], 6.0)]
                 self.assertEqual(written == [LoadTable(2)], over)
                 (write,) = orderer.step(["entry-0"], 10.5)
-                orderer.table_read(write.table, 10.5)
+                orderer.apply_table(write.table, 10.5)
 
 
 if __name__ == "__main__":
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -19,7 +19,12 @@
     schema,
     seal,
 )
-from cassiaford.fleet._gate import DroppedError, DropReason, FrameGate, Identity
+from cassiaford.fleet._gate import (
+    DroppedError,
+    DropReason,
+    FrameAuthenticator,
+    Identity,
+)
 from cassiaford.fleet._peers import MAX_DATAGRAM_BYTES
 from cassiaford.policy import (
     Member,
@@ -35,7 +40,9 @@
 
 
 def gate(name, incarnation=1, secret=SECRET, wall_s=1000.0):
-    return FrameGate(Identity(name, incarnation, secret), HybridClock(lambda: wall_s))
+    return FrameAuthenticator(
+        Identity(name, incarnation, secret), HybridClock(lambda: wall_s)
+    )
 
 
 def envelope(**fields):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -49,9 +49,9 @@
 
     def serve(self, request, now=1.0, servers=None):
         placement = self.place(request, servers, now)
-        self.policy.started(placement, request, now)
-        self.policy.first_token(request.request_id, now + 0.1)
-        self.policy.finished(request.request_id, now + 0.2)
+        self.policy.record_start(placement, request, now)
+        self.policy.record_first_token(request.request_id, now + 0.1)
+        self.policy.record_end(request.request_id, now + 0.2)
         return placement
 
     def other_than_home(self):
@@ -123,14 +123,14 @@
     def test_a_prompt_that_a_peer_sent_counts_until_a_report_holds_it(self):
         home = self.serve(request()).server
         self.policy.observe_load(home, load(f"{home}#1"), 1.0)
-        self.policy.peer_started(home, 400_000, 1.05)
+        self.policy.record_peer_start(home, 400_000, 1.05)
         self.assertNotEqual(self.place(request(1), now=1.1).server, home)
         self.policy.observe_load(home, load(f"{home}#1"), 1.5)
         self.assertEqual(self.place(request(1), now=1.5).server, home)
 
     def test_a_prompt_that_a_peer_sent_is_forgotten_where_no_report_comes(self):
         home = self.serve(request()).server
-        self.policy.peer_started(home, 400_000, 1.0)
+        self.policy.record_peer_start(home, 400_000, 1.0)
         self.assertNotEqual(self.place(request(1), now=1.1).server, home)
         self.assertEqual(self.place(request(1), now=3.0).server, home)
 
@@ -168,13 +168,13 @@
     def test_forgotten_server_is_believed_to_hold_nothing(self):
         holder = self.other_than_home()
         self.policy.observe_events(holder, stored(*CHAIN), 1.0)
-        self.policy.forget(holder)
+        self.policy.remove_server(holder)
         self.policy.observe_events(holder, stored(*CHAIN), 1.5)
         self.assertNotEqual(self.place(request()).server, holder)
 
     def test_bit_of_a_forgotten_server_passes_on_no_belief(self):
         self.policy.observe_events("gone", stored(*CHAIN), 1.0)
-        self.policy.forget("gone")
+        self.policy.remove_server("gone")
         self.policy.observe_load("new", load("new#1"), 2.0)
         placement = self.place(request(), views(["new"]))
         self.assertEqual(placement.cached_tokens, 0)
@@ -187,8 +187,8 @@
 
     def test_request_that_failed_before_its_first_token_leaves_no_belief(self):
         placement = self.place(request())
-        self.policy.started(placement, request(), 1.0)
-        self.policy.finished("r0", 1.1)
+        self.policy.record_start(placement, request(), 1.0)
+        self.policy.record_end("r0", 1.1)
         self.assertEqual(self.place(request(1)).cached_tokens, 0)
         self.assertEqual(self.policy.beliefs.loads[placement.server].own_tokens, 0)
 
@@ -196,9 +196,9 @@
         first, second = NAMES[:2]
         for name in (first, second):
             placement = self.place(request(), views([name]))
-            self.policy.started(placement, request(), 1.0)
+            self.policy.record_start(placement, request(), 1.0)
         self.assertEqual(self.policy.beliefs.loads[first].own_tokens, 0)
-        self.policy.finished("r0", 2.0)
+        self.policy.record_end("r0", 2.0)
         self.assertEqual(self.policy.beliefs.loads[second].own_tokens, 0)
 
     def test_own_requests_count_before_any_report(self):
@@ -206,7 +206,7 @@
         chosen = []
         for number, chain in enumerate(chains):
             placement = self.place(request(number, chain))
-            self.policy.started(placement, request(number, chain), 1.0)
+            self.policy.record_start(placement, request(number, chain), 1.0)
             chosen.append(placement.server)
         fewest = min(chosen.count(name) for name in NAMES)
         self.assertGreater(fewest, 10)
@@ -228,9 +228,9 @@
         for number in range(100):
             chain = (number + 1,) * 10
             placement = self.place(request(number, chain), views([name]))
-            self.policy.started(placement, request(number, chain), float(number))
-            self.policy.first_token(f"r{number}", number + 10_340 / 40_000)
-            self.policy.finished(f"r{number}", number + 0.5)
+            self.policy.record_start(placement, request(number, chain), float(number))
+            self.policy.record_first_token(f"r{number}", number + 10_340 / 40_000)
+            self.policy.record_end(f"r{number}", number + 0.5)
         speed = self.policy.beliefs.loads[name].tokens_per_s
         self.assertAlmostEqual(speed, 40_000, delta=2_500)
 
@@ -243,7 +243,7 @@
             events = stored(*range(10**6 + number, 10**6 + number + 20))
             self.policy.observe_events(name, events, number + 0.5)
             if number % 50 == 0:
-                self.policy.forget(name)
+                self.policy.remove_server(name)
         self.assertLessEqual(len(self.policy.table), 100)
         self.assertFalse(any(load.sent for load in self.policy.beliefs.loads.values()))
         self.assertEqual(self.policy.unfinished, 0)
@@ -280,14 +280,14 @@
                 policy.observe_load(name, load(incarnation), now)
                 reported.add(name)
             elif kind == "forget":
-                policy.forget(name)
+                policy.remove_server(name)
                 reported.discard(name)
                 truth[name] = (number + 1, set())
             elif kind == "serve":
                 chosen = policy.place(request(step), views(NAMES[:3]), now, self.rng)
-                policy.started(chosen, request(step), now)
-                policy.first_token(f"r{step}", now)
-                policy.finished(f"r{step}", now)
+                policy.record_start(chosen, request(step), now)
+                policy.record_first_token(f"r{step}", now)
+                policy.record_end(f"r{step}", now)
                 truth.setdefault(chosen.server, (1, set()))[1].update(CHAIN)
         for name, (_, held) in truth.items():
             self.assertLessEqual(believed(policy, name), held)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -9,18 +9,18 @@
     Configuration,
     EngineSpec,
     PromptPart,
-    RequestFacts,
     RequestKind,
+    RequestMetadata,
     Route,
     Service,
     Target,
 )
 from cassiaford.gateway._placer import Placer
 from cassiaford.gateway.policy import (
-    EngineBook,
+    EnginePlacer,
     NamedVersions,
-    ServerTrust,
-    ServiceBook,
+    ServerHealth,
+    ServicePlacer,
 )
 
 
@@ -37,7 +37,7 @@
 def facts(number, own_tokens, output_tokens):
     """Return a prompt with a short shared part."""
     parts = (PromptPart("binder", 500), PromptPart(f"own-{number}", own_tokens))
-    return RequestFacts(
+    return RequestMetadata(
         f"r{number}",
         "a",
         model="m",
@@ -62,22 +62,22 @@
         view = types.SimpleNamespace(
             servers={"engine": servers},
             configuration=Configuration(1, (TAG, DIGEST), {"engine": service}),
-            named=named,
+            named_versions=named,
         )
         self.placer = Placer(
             view,
-            EngineBook(),
-            ServiceBook(),
-            ServerTrust(),
+            EnginePlacer(),
+            ServicePlacer(),
+            ServerHealth(),
             "a",
-            weights_due_s=10.0,
+            weights_grace_s=10.0,
             rng=random.Random(1),
         )
 
     def place(self, request, asked, now):
         """Place and send a request; return the engine's key."""
         choice = self.placer.choose("engine", request, None, set(), asked, now)
-        self.placer.started(choice, request, None, now)
+        self.placer.record_start(choice, request, None, now)
         return choice.key
 
     def test_new_weights_are_preferred_on_idle_engines(self):
@@ -87,13 +87,13 @@
         # Tags may state ninety tokens, and get four. Those that have just
         # ended tell that one hardly keeps an engine from loading weights.
         for number in range(20):
-            self.placer.answered(TAG, 9.0 + number / 100, 9.04 + number / 100)
+            self.placer.record_response(TAG, 9.0 + number / 100, 9.04 + number / 100)
         self.assertEqual(self.place(facts(1, 32_000, 900), DIGEST, 10.0), 1)
         self.assertEqual(self.place(facts(2, 1500, 90), TAG, 10.01), 2)
 
     def test_a_long_answer_is_not_begun_where_weights_are_to_be_loaded(self):
         for number in range(20):
-            self.placer.answered(DIGEST, 8.0 + number / 100, 9.2 + number / 100)
+            self.placer.record_response(DIGEST, 8.0 + number / 100, 9.2 + number / 100)
         self.assertEqual(self.place(facts(1, 12_000, 900), DIGEST, 10.0), 1)
         self.assertEqual(self.place(facts(2, 6000, 900), DIGEST, 10.01), 1)
 
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -79,12 +79,12 @@
     async def test_a_lost_answer_of_a_write_leaves_the_instance_registered(self):
         self.store.faults.lose_writes = 1
         gateway = await self.start_gateway()
-        await self.until(lambda: gateway.registration.present)
+        await self.until(lambda: gateway.registration.registered)
         self.assertIn("cassiaford/instances/entry-1", self.store.items)
 
     async def test_an_entry_that_was_removed_is_written_again(self):
         gateway = await self.start_gateway()
-        await self.until(lambda: gateway.registration.present)
+        await self.until(lambda: gateway.registration.registered)
         await self.store.lapse(gateway.registration.lease)
         await self.until(lambda: "cassiaford/instances/entry-1" in self.store.items)
 
@@ -117,7 +117,7 @@
         gateway = await self.start_gateway()
         await self.store.put("op/config", {"Version": 5, "Routes": [{"Name": 1}]})
         await self.store.put("op/version/m1", {"Model": "m1", "Version": 2})
-        await self.until(lambda: gateway.view.named.newest("m1") == 2)
+        await self.until(lambda: gateway.view.named_versions.newest("m1") == 2)
         self.assertEqual(gateway.view.configuration.version, 1)
 
     async def test_an_older_configuration_changes_nothing(self):
@@ -126,7 +126,7 @@
         await self.until(lambda: gateway.view.configuration.version == 7)
         await self.store.put("op/config", configuration(6, Tenants=[]))
         await self.store.put("op/version/m1", {"Model": "m1", "Version": 2})
-        await self.until(lambda: gateway.view.named.newest("m1") == 2)
+        await self.until(lambda: gateway.view.named_versions.newest("m1") == 2)
         self.assertEqual((await self.call(gateway, "/book/1", X_Key="no")).status, 401)
 
     async def test_an_entry_that_turns_bad_names_no_server(self):
@@ -213,7 +213,7 @@
 
     async def test_a_stopping_instance_leaves_the_directory_and_the_store(self):
         gateway = await self.start_gateway(drain_s=2.0)
-        await self.until(lambda: gateway.registration.present)
+        await self.until(lambda: gateway.registration.registered)
         gateway.stopping.set()
         await self.until(lambda: not self.instances())
         self.assertFalse(gateway.ready)
@@ -275,7 +275,7 @@
 
     async def test_no_engine_is_sent_to_a_store_that_is_gone(self):
         await self.prefixes.stop()
-        await self.until(lambda: self.gateway.placer.stores_away)
+        await self.until(lambda: self.gateway.placer.unreachable_stores)
         await self.ask(self.gateway)
         headers = self.worker.calls[-1].headers
         self.assertNotIn("x-kv-fetch", headers)
@@ -289,8 +289,8 @@
             await self.start_worker(f"i-{number}", "engine", events=40)
         gateway = await self.start_gateway()
         noted = []
-        first_token = gateway.placer.first_token
-        gateway.placer.first_token = lambda *given: (
+        first_token = gateway.placer.record_first_token
+        gateway.placer.record_first_token = lambda *given: (
             noted.append(given),
             first_token(*given),
         )
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from cassiaford.gateway import RequestFacts
+from cassiaford.gateway import RequestMetadata
 from cassiaford.gateway._placer import Choice
-from cassiaford.gateway.policy import EngineView, Generation
+from cassiaford.gateway.policy import EngineView, GenerationRequest
 from standins.platform_worker import Behaviour
 from tests.platform_case import MODEL, PlatformCase, configuration, read_answer, route
 
@@ -325,20 +325,20 @@
         first, second = await self.start_quiet_pair()
         key = next(iter(first.view.engines_of(MODEL)))
         engine = EngineView(key, "i-0", 64, 200_000)
-        request = Generation("r1", (), 32_000, 40)
+        request = GenerationRequest("r1", (), 32_000, 40)
         placement = first.engines.place(request, [engine], 0.0, first.rng)
-        self.assertEqual(second.engines.tokens(key), 0)
+        self.assertEqual(second.engines.running_tokens(key), 0)
         choice = Choice(key, first.view.engines_of(MODEL)[key], placement)
-        facts = RequestFacts("r1", "a", model=MODEL, prompt_tokens=32_000)
-        first.placer.started(choice, facts, None, first.loop.time())
-        await self.until(lambda: second.engines.tokens(key) >= 32_000)
+        facts = RequestMetadata("r1", "a", model=MODEL, prompt_tokens=32_000)
+        first.placer.record_start(choice, facts, None, first.loop.time())
+        await self.until(lambda: second.engines.running_tokens(key) >= 32_000)
 
     async def test_all_instances_leave_a_held_engine_alone_at_once(self):
         first, second = await self.start_quiet_pair()
         key = next(iter(first.view.engines_of(MODEL)))
-        first.peers.hold(frozenset({key}))
-        self.assertIn(key, first.placer.held)
-        await self.until(lambda: key in second.placer.held)
+        first.peers.set_out_of_use(frozenset({key}))
+        self.assertIn(key, first.placer.out_of_use)
+        await self.until(lambda: key in second.placer.out_of_use)
 
 
 class ReplacedServerTest(PlatformCase):
--- a/tests/test_platform_waiting.py
+++ b/tests/test_platform_waiting.py
@@ -5,7 +5,7 @@
 import unittest
 
 from cassiaford.logs import Event
-from cassiaford.platform._records import PlatformRecords
+from cassiaford.platform._records import PlatformRecordDecoder
 from standins.platform_worker import Behaviour
 from tests.platform_case import PROMPT, PlatformCase, configuration, route
 
@@ -18,7 +18,7 @@
         """Return how long callers of a stream stay, from the operators' text."""
         mark = route("mark", "/mark/", "streaming", "engine", **fields)
         text = json.dumps(configuration(Routes=[mark])).encode()
-        (decoded,) = PlatformRecords().configuration(text).routes
+        (decoded,) = PlatformRecordDecoder().configuration(text).routes
         return decoded.patience_s
 
     def test_callers_stay_for_the_longest_of_three_times(self):
@@ -68,13 +68,13 @@
         self.worker.behaviours = [Behaviour.BREAK_IN_EVENT]
         self.fall_behind(gateway)
         self.engine.busy_until = 0.0
-        first_token = gateway.placer.first_token
+        first_token = gateway.placer.record_first_token
 
         def begin(*given):
             first_token(*given)
             self.fall_behind(gateway)
 
-        gateway.placer.first_token = begin
+        gateway.placer.record_first_token = begin
         waited = []
         gateway.placer.waiting.add = lambda *given: waited.append(given)
         answer = await self.ask(gateway)
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -12,7 +12,15 @@
     encode_ledger,
     encode_message,
 )
-from cassiaford.policy import Ask, Grant, Holder, Ledger, Poll, Report, Returned
+from cassiaford.policy import (
+    Holder,
+    Ledger,
+    LedgerPoll,
+    LedgerReport,
+    LoanGrant,
+    LoanRequest,
+    ReturnedLoan,
+)
 from cassiaford.timeline import HybridClock, Journal
 from cassiaford.verdict import RefusalReason, Verdict
 from tests.fakes_claims import FakeKeyValue
@@ -89,7 +97,7 @@
         first, second = self.limiter("entry-1"), self.limiter("entry-2")
         first.leave()
         self.wait_until(lambda: second.book.ledger.epoch == 3)
-        self.wait_until(lambda: second.book.settled)
+        self.wait_until(lambda: second.book.converged)
         self.assertEqual(second.book.ledger.holders, (Holder("entry-2", 1),))
         self.assertEqual(second.book.shares["shop"].fraction, 1.0)
 
@@ -104,11 +112,13 @@
     def test_messages_come_back_as_they_went(self):
         ledger = Ledger(3, (Holder("entry-1", 7), Holder("entry-2", 1)))
         messages = [
-            Ask("shop", 4, 10.5, 2.0, (Returned(1, 0.0), Returned(2, 3.5))),
-            Grant("shop", 4, 10.5, 0.0),
-            Poll(9, 3),
-            Report(9, 3, True),
-            Report(9, 3, False, ledger),
+            LoanRequest(
+                "shop", 4, 10.5, 2.0, (ReturnedLoan(1, 0.0), ReturnedLoan(2, 3.5))
+            ),
+            LoanGrant("shop", 4, 10.5, 0.0),
+            LedgerPoll(9, 3),
+            LedgerReport(9, 3, True),
+            LedgerReport(9, 3, False, ledger),
         ]
         for message in messages:
             self.assertEqual(decode_message(encode_message(message)), message)
@@ -118,7 +128,7 @@
     def test_amounts_that_make_tokens_are_refused(self):
         for amount in (-1.0, float("nan"), float("inf")):
             with self.assertRaises(ShareCodecError):
-                decode_message(encode_message(Grant("shop", 1, amount, 0.0)))
+                decode_message(encode_message(LoanGrant("shop", 1, amount, 0.0)))
 
 
 if __name__ == "__main__":
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -6,15 +6,15 @@
 
 from bench.fleet_shares import CUSTOMER, Fleet, Network
 from cassiaford.policy import (
-    Ask,
-    Grant,
     Holder,
     Ledger,
+    LedgerPoll,
+    LedgerReport,
     Limit,
-    Poll,
-    Report,
-    Returned,
-    ShareBook,
+    LoanGrant,
+    LoanRequest,
+    RateShares,
+    ReturnedLoan,
     _share,
 )
 from tests.schedules import seeds
@@ -112,15 +112,15 @@
 
 class ShareBookTest(unittest.TestCase):
     def setUp(self):
-        self.owner = ShareBook("entry-1", 1, 0.0)
+        self.owner = RateShares("entry-1", 1, 0.0)
         self.owner.configure({CUSTOMER: LIMIT}, 0.0)
         self.owner.found(Ledger(1, (Holder("entry-1", 1),)), 0.0)
-        self.borrower = ShareBook("entry-2", 1, 0.0)
+        self.borrower = RateShares("entry-2", 1, 0.0)
         self.borrower.configure({CUSTOMER: LIMIT}, 0.0)
-        self.borrower.adopt(self.owner.ledger, 0.0)
+        self.borrower.apply_ledger(self.owner.ledger, 0.0)
 
     def ask(self, tokens, now=0.0):
-        (send,) = self.borrower.ask(CUSTOMER, tokens, now)
+        (send,) = self.borrower.request_loans(CUSTOMER, tokens, now)
         return send.message
 
     def lend(self, ask, now=0.0):
@@ -135,7 +135,7 @@
         self.assertFalse(self.borrower.charge(CUSTOMER, 1.0, 0.0))
 
     def test_a_doubled_ask_lends_and_refunds_once(self):
-        ask = Ask(CUSTOMER, 1, 6000.0, refund=500.0)
+        ask = LoanRequest(CUSTOMER, 1, 6000.0, refund=500.0)
         self.owner.charge(CUSTOMER, 10_000.0, 0.0)
         self.assertEqual(self.lend(ask).tokens, 6000.0)
         self.assertEqual(self.lend(ask).tokens, 0.0)
@@ -158,7 +158,9 @@
 
     def test_a_returned_loan_is_taken_back_once(self):
         loan = self.lend(self.ask(20_000.0)).loan
-        returned = Ask(CUSTOMER, loan + 1, 0.0, returned=(Returned(loan, 5000.0),))
+        returned = LoanRequest(
+            CUSTOMER, loan + 1, 0.0, returned=(ReturnedLoan(loan, 5000.0),)
+        )
         for _ in range(2):
             self.owner.receive(self.borrower.holder, returned, 0.0)
         self.assertTrue(self.owner.charge(CUSTOMER, 5000.0, 0.0))
@@ -176,29 +178,29 @@
 
     def test_a_waking_holder_waits_for_word(self):
         self.assertFalse(self.owner.charge(CUSTOMER, 1.0, 3.0))
-        self.owner.confirm(self.owner.ledger, 2.9, 3.1)
+        self.owner.apply_service_ledger(self.owner.ledger, 2.9, 3.1)
         self.assertFalse(self.owner.charge(CUSTOMER, 1.0, 3.1))
-        self.owner.confirm(self.owner.ledger, 3.1, 3.1)
+        self.owner.apply_service_ledger(self.owner.ledger, 3.1, 3.1)
         self.assertTrue(self.owner.charge(CUSTOMER, 1.0, 3.1))
 
     def test_a_restarted_holder_starts_empty_and_asks_its_peers(self):
-        restarted = ShareBook("entry-1", 2, 0.0)
+        restarted = RateShares("entry-1", 2, 0.0)
         restarted.configure({CUSTOMER: LIMIT}, 0.0)
         holders = (Holder("entry-1", 2), Holder("entry-2", 1))
-        restarted.adopt(Ledger(5, holders), 0.0)
+        restarted.apply_ledger(Ledger(5, holders), 0.0)
         self.assertFalse(restarted.charge(CUSTOMER, 1.0, 0.1))
-        (send,) = restarted.ask(CUSTOMER, 1.0, 0.1)
+        (send,) = restarted.request_loans(CUSTOMER, 1.0, 0.1)
         self.assertEqual(send.instance, "entry-2")
-        grant = Grant(CUSTOMER, send.message.loan, 100.0, 0.0)
+        grant = LoanGrant(CUSTOMER, send.message.loan, 100.0, 0.0)
         restarted.receive(Holder("entry-2", 1), grant, 0.1)
         self.assertTrue(restarted.charge(CUSTOMER, 1.0, 0.1))
 
     def gainer(self):
         """Return a book that has shares to gain from the owner's ledger."""
-        book = ShareBook("entry-3", 1, 0.0)
+        book = RateShares("entry-3", 1, 0.0)
         book.configure({CUSTOMER: LIMIT}, 0.0)
         holders = (self.owner.holder, book.holder)
-        book.adopt(Ledger(2, holders), 0.0)
+        book.apply_ledger(Ledger(2, holders), 0.0)
         return book
 
     def run_ticks(self, book, start, end):
@@ -206,14 +208,14 @@
         polls = []
         for step in range(int(start * 10), int(end * 10) + 1):
             sends = book.tick(step / 10)
-            polls.extend(s.message for s in sends if isinstance(s.message, Poll))
+            polls.extend(s.message for s in sends if isinstance(s.message, LedgerPoll))
         return polls[-1] if polls else None
 
     def test_shares_grow_only_once_the_loser_has_reported(self):
         gainer = self.gainer()
         poll = self.run_ticks(gainer, 0.1, 5.0)
         self.assertFalse(gainer.charge(CUSTOMER, 1.0, 5.0))
-        late = Report(poll.number, 1, sure=True)
+        late = LedgerReport(poll.number, 1, confirmed=True)
         gainer.receive(self.owner.holder, late, 5.0)
         self.run_ticks(gainer, 5.1, 9.0)
         self.assertFalse(gainer.charge(CUSTOMER, 1.0, 9.0))
@@ -226,7 +228,7 @@
         (answer,) = gainer.receive(self.owner.holder, ask_for_ledger, 0.2)
         self.owner.receive(gainer.holder, answer.message, 0.2)
         self.assertFalse(self.owner.charge(CUSTOMER, 10_001.0, 0.2))
-        report = Report(poll.number, 2, sure=True)
+        report = LedgerReport(poll.number, 2, confirmed=True)
         gainer.receive(self.owner.holder, report, 0.2)
         # The owner's loans from before lapse first.
         grown_at = 0.3 + LOAN_S + 2 * LOAN_MARGIN_S
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -45,7 +45,7 @@
         self.log = []
         self.policies = [policy(seed + n) for n in range(count)]
         for one in self.policies:
-            one.service_loaded_at(0.0)
+            one.record_service_load(0.0)
         self.cut_from_service = set()
         self.in_flight = []
         self.seen = [[0] for _ in range(count)]
@@ -77,18 +77,20 @@
     def hear_service(self, one):
         missing = self.log[one.current.revision :]
         if missing:
-            self.later(one, lambda: one.take_entry(missing[0]))
+            self.later(one, lambda: one.apply_revision(missing[0]))
         else:
-            one.service_word(self.now)
+            one.record_service_contact(self.now)
 
     def hear_peer(self, number, one):
         peer = self.rng.randrange(len(self.policies))
         revision, as_of = self.policies[peer].current.revision, self.now
         if peer != number:
-            self.later(one, lambda: one.peer_word(str(peer), revision, as_of, self.now))
+            self.later(
+                one, lambda: one.update_from_peer(str(peer), revision, as_of, self.now)
+            )
 
     def fetch(self, one):
-        peer = one.fetch_from(self.now)
+        peer = one.choose_fetch_peer(self.now)
         if peer is None:
             return
         source = self.policies[int(peer)]
@@ -97,10 +99,10 @@
 
         def deliver():
             for revision in entries or ():
-                one.take_entry(revision)
+                one.apply_revision(revision)
             if entries is None:
-                one.take_snapshot(snapshot)
-            one.peer_loaded_at(as_of)
+                one.apply_snapshot(snapshot)
+            one.record_peer_load(as_of)
 
         self.later(one, deliver)
 
@@ -136,7 +138,7 @@
     def test_an_instance_far_behind_gets_a_snapshot(self):
         ahead = policy()
         for number in range(1, 101):
-            ahead.take_entry(entry(number))
+            ahead.apply_revision(entry(number))
         self.assertIsNone(ahead.entries_after(10))
         self.assertEqual(len(ahead.entries_after(90)), 10)
         self.assertEqual(ahead.entries_after(100), ())
@@ -146,101 +148,101 @@
     def test_older_and_later_entries_are_left_alone(self):
         one = policy()
         for number in (1, 2, 2, 1, 4):
-            one.take_entry(entry(number))
+            one.apply_revision(entry(number))
         self.assertEqual(one.current, configuration(2))
 
     def test_an_older_snapshot_is_left_alone(self):
         one = policy()
-        one.take_snapshot(configuration(5))
-        self.assertIsNone(one.take_snapshot(configuration(4)))
+        one.apply_snapshot(configuration(5))
+        self.assertIsNone(one.apply_snapshot(configuration(4)))
         self.assertEqual(one.current.revision, 5)
 
     def test_a_revision_that_does_not_fit_counts_without_effect(self):
         one = policy()
-        change = one.take_entry(entry(1, RemoveCustomer("nobody")))
+        change = one.apply_revision(entry(1, RemoveCustomer("nobody")))
         self.assertIn("nobody", change.rejected)
         self.assertEqual(one.current.revision, 1)
-        self.assertIsNotNone(one.take_entry(entry(2)))
+        self.assertIsNotNone(one.apply_revision(entry(2)))
 
 
 class FreshnessTest(unittest.TestCase):
     def test_silence_of_service_and_peers_makes_it_stale(self):
         one = policy()
-        self.assertFalse(one.fresh(0.0))
-        one.service_loaded_at(0.0)
-        self.assertTrue(one.fresh(4.0))
-        self.assertFalse(one.fresh(4.1))
+        self.assertFalse(one.is_fresh(0.0))
+        one.record_service_load(0.0)
+        self.assertTrue(one.is_fresh(4.0))
+        self.assertFalse(one.is_fresh(4.1))
 
     def test_a_peers_word_keeps_it_fresh_in_an_outage(self):
         one = policy()
-        one.service_loaded_at(0.0)
-        one.service_failed()
-        one.peer_word("entry-2", 0, 100.0, 100.1)
-        self.assertTrue(one.fresh(103.0))
+        one.record_service_load(0.0)
+        one.record_service_failure()
+        one.update_from_peer("entry-2", 0, 100.0, 100.1)
+        self.assertTrue(one.is_fresh(103.0))
 
     def test_a_peer_that_is_behind_does_not_keep_it_fresh(self):
         one = policy()
-        one.take_entry(entry(1))
-        one.service_loaded_at(0.0)
-        one.peer_word("entry-2", 0, 100.0, 100.1)
-        self.assertFalse(one.fresh(103.0))
-        one.peer_word("entry-2", 1, 101.0, 101.1)
-        self.assertTrue(one.fresh(103.0))
+        one.apply_revision(entry(1))
+        one.record_service_load(0.0)
+        one.update_from_peer("entry-2", 0, 100.0, 100.1)
+        self.assertFalse(one.is_fresh(103.0))
+        one.update_from_peer("entry-2", 1, 101.0, 101.1)
+        self.assertTrue(one.is_fresh(103.0))
 
     def test_an_unasked_word_proves_nothing_about_the_present(self):
         one = policy()
-        one.service_loaded_at(0.0)
-        one.peer_word("entry-2", 0, None, 100.0)
-        self.assertFalse(one.fresh(100.0))
+        one.record_service_load(0.0)
+        one.update_from_peer("entry-2", 0, None, 100.0)
+        self.assertFalse(one.is_fresh(100.0))
 
     def test_knowing_of_a_revision_without_having_it_makes_it_stale(self):
         one = policy()
-        one.service_loaded_at(0.0)
-        one.peer_word("entry-2", 1, 1.0, 1.0)
-        one.peer_word("entry-3", 0, 5.0, 5.0)
-        self.assertTrue(one.fresh(5.0))
-        self.assertFalse(one.fresh(5.1))
-        one.take_entry(entry(1))
-        self.assertTrue(one.fresh(5.1))
+        one.record_service_load(0.0)
+        one.update_from_peer("entry-2", 1, 1.0, 1.0)
+        one.update_from_peer("entry-3", 0, 5.0, 5.0)
+        self.assertTrue(one.is_fresh(5.0))
+        self.assertFalse(one.is_fresh(5.1))
+        one.apply_revision(entry(1))
+        self.assertTrue(one.is_fresh(5.1))
 
 
 class ReadyTest(unittest.TestCase):
     def test_serving_does_not_start_below_what_peers_know(self):
         one = policy()
-        one.peer_word("entry-2", 3, 1.0, 1.0)
-        one.service_loaded_at(1.0)
-        self.assertFalse(one.ready(peer_count=6))
-        one.take_snapshot(configuration(3))
-        self.assertTrue(one.ready(peer_count=6))
+        one.update_from_peer("entry-2", 3, 1.0, 1.0)
+        one.record_service_load(1.0)
+        self.assertFalse(one.is_ready(peer_count=6))
+        one.apply_snapshot(configuration(3))
+        self.assertTrue(one.is_ready(peer_count=6))
 
     def test_without_the_service_several_peers_are_heard_first(self):
         one = policy()
-        one.peer_word("entry-2", 1, 1.0, 1.0)
-        one.take_snapshot(configuration(1))
-        one.peer_loaded_at(1.0)
-        self.assertFalse(one.ready(peer_count=6))
-        one.peer_word("entry-3", 1, 1.0, 1.0)
-        one.peer_word("entry-4", 2, 1.0, 1.0)
-        self.assertFalse(one.ready(peer_count=6))
-        one.take_entry(entry(2))
-        self.assertTrue(one.ready(peer_count=6))
+        one.update_from_peer("entry-2", 1, 1.0, 1.0)
+        one.apply_snapshot(configuration(1))
+        one.record_peer_load(1.0)
+        self.assertFalse(one.is_ready(peer_count=6))
+        one.update_from_peer("entry-3", 1, 1.0, 1.0)
+        one.update_from_peer("entry-4", 2, 1.0, 1.0)
+        self.assertFalse(one.is_ready(peer_count=6))
+        one.apply_revision(entry(2))
+        self.assertTrue(one.is_ready(peer_count=6))
 
     def test_peers_that_know_nothing_do_not_make_it_ready(self):
         one = policy()
         for peer in ("entry-2", "entry-3", "entry-4"):
-            one.peer_word(peer, 0, 1.0, 1.0)
-        self.assertFalse(one.ready(peer_count=3))
+            one.update_from_peer(peer, 0, 1.0, 1.0)
+        self.assertFalse(one.is_ready(peer_count=3))
 
     def test_it_fetches_from_a_peer_that_knows_most(self):
         one = policy()
-        one.service_loaded_at(0.0)
-        one.peer_word("entry-2", 1, None, 1.0)
-        one.peer_word("entry-3", 2, None, 1.0)
-        self.assertIsNone(one.fetch_from(1.1))
-        self.assertEqual(one.fetch_from(1.4), "entry-3")
-        self.assertIsNone(one.fetch_from(1.5))
-        one.forget_peer("entry-3")
-        self.assertEqual(one.fetch_from(2.0), "entry-2")
+        one.record_service_load(0.0)
+        one.update_from_peer("entry-2", 1, None, 1.0)
+        one.update_from_peer("entry-3", 2, None, 1.0)
+        self.assertIsNone(one.choose_fetch_peer(1.1))
+        self.assertEqual(one.choose_fetch_peer(1.4), "entry-3")
+        self.assertIsNone(one.choose_fetch_peer(1.5))
+        one.remove_peer("entry-3")
+        self.assertEqual(one.choose_fetch_peer(2.0), "entry-2")
 
 
 if __name__ == "__main__":
--- a/tests/test_roll_out.py
+++ b/tests/test_roll_out.py
@@ -10,7 +10,7 @@
     EngineControl,
     EngineError,
     LoadReport,
-    OrderAnswer,
+    OrderResponse,
     cache_scope,
 )
 from cassiaford.fleet import create_order_runner
@@ -43,7 +43,7 @@
         if self.lost_answers:
             self.lost_answers -= 1
             raise EngineError("lost")
-        return OrderAnswer(True)
+        return OrderResponse(True)
 
     def cache_events(self, address, after):
         raise NotImplementedError
--- a/tests/test_sent_prompts.py
+++ b/tests/test_sent_prompts.py
@@ -3,14 +3,19 @@
 import threading
 import unittest
 
-from cassiaford.fleet import MIN_TOLD_TOKENS, Channel, PeerMessage, SentPrompts
+from cassiaford.fleet import (
+    MIN_REPORTED_TOKENS,
+    Channel,
+    PeerMessage,
+    SentPromptExchange,
+)
 from cassiaford.logs import Event
 from cassiaford.timeline import HybridClock, Journal
 from tests.dispatcher_case import DispatcherCase
 from tests.fakes import full_stream, model_request
 from tests.fakes_peers import FakeTransport
 
-LONG = 5 * MIN_TOLD_TOKENS
+LONG = 5 * MIN_REPORTED_TOKENS
 
 
 class SentPromptsTest(unittest.TestCase):
@@ -24,19 +29,19 @@
         transport = FakeTransport(name, self.fleet)
         self.addCleanup(transport.close)
         journal = Journal(name, 1, HybridClock(lambda: 0.0), write=lambda *_: None)
-        part = SentPrompts(transport, journal, name)
+        part = SentPromptExchange(transport, journal, name)
 
         def hear(server, tokens):
             self.heard.append((name, server, tokens))
             self.told.release()
 
-        part.on_heard = hear
+        part.on_peer_prompt = hear
         part.start()
         return part
 
     def test_a_long_prompt_is_told_to_peers_and_a_short_one_is_not(self):
-        self.parts["entry-1"].sent("engine-1", MIN_TOLD_TOKENS - 1)
-        self.parts["entry-1"].sent("engine-2", LONG)
+        self.parts["entry-1"].broadcast("engine-1", MIN_REPORTED_TOKENS - 1)
+        self.parts["entry-1"].broadcast("engine-2", LONG)
         self.assertTrue(self.told.acquire(timeout=10.0))
         self.assertEqual(self.heard, [("entry-2", "engine-2", LONG)])
 
@@ -46,7 +51,7 @@
         sent = []
         transport = self.parts["entry-1"].transport
         transport.send = lambda *message: sent.append(message)
-        self.parts["entry-1"].sent("engine-1", LONG)
+        self.parts["entry-1"].broadcast("engine-1", LONG)
         self.assertEqual(sent, [])
 
     def test_a_message_that_is_not_understood_is_logged(self):
@@ -69,8 +74,8 @@
     def test_what_a_peer_tells_reaches_placement(self):
         setup = self.dispatch(self.serve(full_stream()))
         heard = []
-        setup.placement.peer_started = lambda *told: heard.append(told[:2])
-        setup.dispatcher.observe_peer("engine-9", LONG)
+        setup.placement.record_peer_start = lambda *told: heard.append(told[:2])
+        setup.dispatcher.observe_peer_prompt("engine-9", LONG)
         self.assertEqual(heard, [("engine-9", LONG)])
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -49,7 +49,7 @@
 
     def test_second_signal_ends_the_wait(self):
         instance = instance_alone()
-        instance.cut_short()
+        instance.abort_drain()
         self.assertEqual(instance.drain(), 0)
 
 
--- a/tests/test_stream_ends.py
+++ b/tests/test_stream_ends.py
@@ -14,7 +14,7 @@
     Caller,
     full_stream,
     model_request,
-    token,
+    token_event,
 )
 from tests.stream_scripts import EVENTS, WHOLE, broken_stream, silent
 
@@ -49,7 +49,7 @@
         def long_stream(connection):
             connection.stream_head(x_resume_offset=connection.request.offset)
             for number in range(count):
-                connection.chunk(token(number, "x" * 100_000))
+                connection.chunk(token_event(number, "x" * 100_000))
                 sent.append(number)
             connection.events(DONE)
             connection.end()
@@ -72,7 +72,7 @@
 
     def test_a_slow_caller_stops_the_reading_of_a_resumed_stream(self):
         def one_event_and_the_end(connection):
-            event = token(0, "x" * 100_000)
+            event = token_event(0, "x" * 100_000)
             connection.stream_head()
             connection.send(b"%x\r\n%b\r\n0\r\n\r\n" % (len(event), event))
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -13,8 +13,8 @@
     DONE,
     full_stream,
     model_request,
-    token,
-    usage,
+    token_event,
+    usage_event,
 )
 from tests.stream_scripts import EVENTS, WHOLE, broken_stream, silent
 
@@ -59,7 +59,7 @@
         self.assertEqual(outcome.servers, ("engine-0",))
 
     def test_usage_that_the_caller_did_not_ask_for_stays_here(self):
-        server = self.serve(full_stream(*EVENTS, usage()))
+        server = self.serve(full_stream(*EVENTS, usage_event()))
         answer, outcome = self.dispatch(server).ask(model_request())
         self.assertEqual(answer.body, WHOLE)
         self.assertEqual(outcome.usage.total, 12)
@@ -68,7 +68,7 @@
         self.assertEqual(sent["prompt"], "p")
 
     def test_other_stream_options_stay(self):
-        server = self.serve(full_stream(*EVENTS, usage()))
+        server = self.serve(full_stream(*EVENTS, usage_event()))
         options = {"include_usage": False, "x": 1}
         setup = self.dispatch(server)
         answer, _ = setup.ask(model_request(stream_options=options))
@@ -77,10 +77,10 @@
         self.assertEqual(sent["stream_options"], {"include_usage": True, "x": 1})
 
     def test_usage_that_the_caller_asked_for_passes(self):
-        setup = self.dispatch(self.serve(full_stream(*EVENTS, usage())))
+        setup = self.dispatch(self.serve(full_stream(*EVENTS, usage_event())))
         options = {"include_usage": True}
         answer, outcome = setup.ask(model_request(stream_options=options))
-        self.assertEqual(answer.body, b"".join(EVENTS) + usage() + DONE)
+        self.assertEqual(answer.body, b"".join(EVENTS) + usage_event() + DONE)
         self.assertEqual(outcome.usage.total, 12)
 
     def test_events_cut_anywhere_arrive_whole(self):
@@ -103,7 +103,7 @@
     def test_a_finish_reason_stands_for_done(self):
         def script(connection):
             connection.stream_head()
-            connection.events(token(0, finish="stop"))
+            connection.events(token_event(0, finish="stop"))
             connection.end()
 
         answer, outcome = self.dispatch(self.serve(script)).ask(model_request())
@@ -191,7 +191,7 @@
 
     def test_a_different_second_run_fails_visibly(self):
         first = (broken_stream(3, reset), unknown)
-        second = [full_stream(EVENTS[0], token(1, "other"), *EVENTS[2:])]
+        second = [full_stream(EVENTS[0], token_event(1, "other"), *EVENTS[2:])]
         answer, outcome = self.ask(first, second)
         self.check_visibly_failed(answer, outcome, EVENTS[:3])
 
@@ -301,8 +301,8 @@
             servers = [self.serve(script) for _ in range(3)]
             setup = self.dispatch(*servers, silence_timeout_s=0.1)
             # More retries than in service, to try more ways of going on.
-            setup.dispatcher.waiting.budget.most = 1000.0
-            setup.dispatcher.waiting.budget.saved = 1000.0
+            setup.dispatcher.waiting.budget.capacity = 1000.0
+            setup.dispatcher.waiting.budget.available = 1000.0
             requests = [model_request(n, repeatable=n % 4 > 0) for n in range(24)]
             callers = [setup.submit(request) for request in requests]
             for request, caller in zip(requests, callers, strict=True):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -6,14 +6,14 @@
 import unittest
 
 from cassiaford.engines import LoadReport
-from cassiaford.fleet import create_suspects
-from cassiaford.instance._crashes import CrashWatch
-from cassiaford.pipeline import SuspectRegister
-from cassiaford.policy import Crash, SuspectBook, servers_for_suspects
+from cassiaford.fleet import create_suspect_registry
+from cassiaford.instance._crashes import CrashMonitor
+from cassiaford.pipeline import SuspectPolicy
+from cassiaford.policy import Crash, SuspectTracker, servers_for_suspects
 from cassiaford.timeline import HybridClock, Journal
 from cassiaford.verdict import Refusal, RefusalReason, Verdict
 from tests.dispatcher_case import DispatcherCase
-from tests.fakes import full_stream, model_request, service_request, token
+from tests.fakes import full_stream, model_request, service_request, token_event
 from tests.fakes_peers import FakeTransport
 
 SCHEDULES = 200
@@ -30,7 +30,7 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.books = [SuspectBook() for _ in range(4)]
+        self.books = [SuspectTracker() for _ in range(4)]
         self.crashes = 0
 
     def run(self):
@@ -49,16 +49,18 @@
     def crash(self, seen_by, fingerprints, now):
         self.crashes += 1
         crash = Crash(f"engine-{self.crashes}", "1")
-        seen_by.report(crash, fingerprints, now)
+        seen_by.record_crash(crash, fingerprints, now)
         news = [book for book in self.books for _ in range(2)]
         self.rng.shuffle(news)
         for book in news:
-            book.report(crash, fingerprints, now)
+            book.record_crash(crash, fingerprints, now)
 
     def complete(self, fingerprints, now):
         for fingerprint in fingerprints:
             if self.rng.random() < 0.5:
-                cleared = self.rng.choice(self.books).completed(fingerprint, now)
+                cleared = self.rng.choice(self.books).record_completion(
+                    fingerprint, now
+                )
                 for book in self.books:
                     book.clear(cleared)
 
@@ -76,26 +78,26 @@
                     self.assertEqual(refused, [FATAL])
 
     def test_one_crash_seen_by_two_instances_counts_once(self):
-        book = SuspectBook()
+        book = SuspectTracker()
         for _ in range(2):
-            book.report(Crash("engine-1", "5"), ("f",), 0.0)
+            book.record_crash(Crash("engine-1", "5"), ("f",), 0.0)
         self.assertFalse(book.is_refused("f", 0.0))
-        book.report(Crash("engine-1", "6"), ("f",), 0.0)
+        book.record_crash(Crash("engine-1", "6"), ("f",), 0.0)
         self.assertTrue(book.is_refused("f", 0.0))
 
     def test_a_crash_told_after_its_clearance_is_void(self):
-        first, second = SuspectBook(), SuspectBook()
+        first, second = SuspectTracker(), SuspectTracker()
         crash = Crash("engine-1", "1")
-        first.report(crash, ("f",), 0.0)
-        second.clear(first.completed("f", 1.0))
-        second.report(crash, ("f",), 2.0)
+        first.record_crash(crash, ("f",), 0.0)
+        second.clear(first.record_completion("f", 1.0))
+        second.record_crash(crash, ("f",), 2.0)
         self.assertFalse(second.is_suspect("f", 2.0))
 
     def test_a_late_completion_does_not_lift_a_refusal(self):
-        book = SuspectBook()
+        book = SuspectTracker()
         for server in ("engine-1", "engine-2"):
-            book.report(Crash(server, "1"), ("f",), 0.0)
-        self.assertIsNone(book.completed("f", 1.0))
+            book.record_crash(Crash(server, "1"), ("f",), 0.0)
+        self.assertIsNone(book.record_completion("f", 1.0))
         self.assertTrue(book.is_refused("f", 1.0))
         self.assertFalse(book.is_refused("f", 3600.0))
 
@@ -121,7 +123,7 @@
             self.assertEqual(len(part), 1)
 
 
-class Suspicions(SuspectRegister):
+class Suspicions(SuspectPolicy):
     """Keeps requests from every server until they are to be refused."""
 
     def __init__(self):
@@ -147,7 +149,7 @@
     ):
         # It waits for a server that runs no other suspect. Meanwhile a peer
         # tells that its second run crashed a server as well.
-        server = self.serve(full_stream(token(0)))
+        server = self.serve(full_stream(token_event(0)))
         suspects = Suspicions()
         setup = self.dispatch(server, suspects=suspects)
         caller = setup.submit(model_request(1))
@@ -174,7 +176,9 @@
 
     def registry(self, name):
         journal = Journal(name, 1, HybridClock(time.time), write=lambda *line: None)
-        registry = create_suspects(FakeTransport(name, self.fleet), journal, name)
+        registry = create_suspect_registry(
+            FakeTransport(name, self.fleet), journal, name
+        )
         registry.start()
         self.registries.append(registry)
         return registry
@@ -188,11 +192,11 @@
     def test_two_crashes_through_two_instances_refuse_at_a_third(self):
         first, second, third = (self.registry(f"entry-{n}") for n in (1, 2, 3))
         self.fleet["entry-1"].lose = 2
-        first.server_crashed("engine-1", ("f", "g"), "1")
-        second.server_crashed("engine-2", ("f",), "1")
+        first.record_crash("engine-1", ("f", "g"), "1")
+        second.record_crash("engine-2", ("f",), "1")
         self.wait_until(lambda: third.is_refused("f"))
         self.wait_until(lambda: third.is_suspect("g"))
-        second.completed("g")
+        second.record_completion("g")
         self.wait_until(lambda: not third.is_suspect("g"))
         started_later = self.registry("entry-4")
         self.wait_until(lambda: started_later.is_refused("f"))
@@ -205,7 +209,7 @@
         allowed = []
         registries = [self.registry("entry-1"), self.registry("entry-3")]
         for registry, request in zip(registries, requests, strict=True):
-            watch = CrashWatch(registry)
+            watch = CrashMonitor(registry)
             watch.crashed(request, "engine-5")
             allowed.append(set(engines) - watch.avoided(request, engines))
         self.assertTrue(allowed[0] and allowed[1])
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -18,7 +18,7 @@
 )
 from cassiaford.verdict import RefusalReason, Verdict
 from tests.dispatcher_case import DispatcherCase
-from tests.fakes import HANG_TIMEOUT_S, model_request, refused_address, service_request
+from tests.fakes import HANG_TIMEOUT_S, model_request, service_request, unused_address
 
 OK_BODY = b'{"id": "x", "usage": {"prompt_tokens": 3, "completion_tokens": 4}}'
 
@@ -159,7 +159,7 @@
 
     def test_refused_connections_go_elsewhere_even_for_a_booking(self):
         other = self.serve(answer_ok)
-        setup = self.dispatch(refused_address(), other)
+        setup = self.dispatch(unused_address(), other)
         answer, outcome = setup.ask(service_request())
         self.assertEqual(answer.status, 200)
         self.assertEqual(outcome.servers, ("service-0", "service-1"))
@@ -188,7 +188,7 @@
         self.assertEqual(outcome.servers, ("service-0", "service-1"))
 
     def test_refused_by_all(self):
-        setup = self.dispatch(refused_address(), refused_address())
+        setup = self.dispatch(unused_address(), unused_address())
         code = self.check_refused(setup, service_request(), "1")
         self.assertEqual(code, "retries_exhausted")
 
@@ -207,7 +207,7 @@
         self.assertEqual(len(server.requests), 1)
 
     def test_an_earlier_doubt_outweighs_a_later_not_run(self):
-        setup = self.dispatch(self.serve(reset_at_once), refused_address())
+        setup = self.dispatch(self.serve(reset_at_once), unused_address())
         answer, outcome = setup.ask(model_request(streaming=False))
         self.assertEqual(answer.error()["verdict"], "may_have_run")
         self.assertIs(outcome.verdict, Verdict.MAY_HAVE_RUN)
@@ -314,7 +314,7 @@
 
 class RetryBudgetTest(unittest.TestCase):
     def request(self, verdict=Verdict.MAY_HAVE_RUN, repeatable=True, attempts=1):
-        return FailedRequest(verdict, repeatable, attempts, give_up_at=100.0)
+        return FailedRequest(verdict, repeatable, attempts, deadline=100.0)
 
     def test_each_reason_not_to_retry(self):
         budget = RetryBudget(now=0.0)
@@ -334,7 +334,7 @@
         now, retries = 0.0, 0
         for first_tries in range(1, 301):
             now += rng.expovariate(50.0)
-            budget.first_try(now)
+            budget.record_first_attempt(now)
             for _ in range(MAX_ATTEMPTS):
                 if rng.random() > failing:
                     break
@@ -364,7 +364,7 @@
         server, other = self.serve(reset_at_once), self.serve(reset_at_once)
         setup = self.dispatch(server, other, queue_length=256)
         setup.dispatcher.waiting.budget.floor_per_s = 0.0
-        setup.dispatcher.waiting.budget.saved = 1.0
+        setup.dispatcher.waiting.budget.available = 1.0
         requests = [model_request(n, streaming=False) for n in range(50)]
         callers = [setup.submit(request) for request in requests]
         answers = [caller.answer() for caller in callers]
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -10,7 +10,7 @@
     MemberChanged,
     Membership,
     MemberState,
-    PeerHeard,
+    PeerContact,
     SendMessage,
 )
 
@@ -147,7 +147,7 @@
                     self._send(name, node, action)
                 case MemberChanged(update=update):
                     self.changes.append((self.now, name, update))
-                case PeerHeard(as_of=as_of) if as_of is not None:
+                case PeerContact(as_of=as_of) if as_of is not None:
                     node.word_at = max(node.word_at, as_of)
 
     def _send(self, name, node, action):
