--- a/src/cassiaford/gateway/__init__.py
+++ b/src/cassiaford/gateway/__init__.py
@@ -5,6 +5,7 @@
 """
 
 from cassiaford._hop_by_hop import HOP_BY_HOP
+from cassiaford.gateway._adapter import PlatformAdapter
 from cassiaford.gateway._configuration import (
     CallerLimits,
     Configuration,
@@ -63,7 +64,6 @@
     StoreRefusedError,
     Write,
 )
-from cassiaford.gateway._world import PlatformAdapter
 
 __all__ = [
     "HOP_BY_HOP",
--- a/src/cassiaford/gateway/_world.py
+++ b/src/cassiaford/gateway/_adapter.py
@@ -1,4 +1,4 @@
-"""What a gateway is given by the adapter of the platform that it runs on."""
+"""The connection of a gateway to the platform that it runs on."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class PlatformAdapter:
-    """Translations and connections."""
+    """The platform's translations and connections that a gateway uses."""
 
     dialect: Dialect
     records: RecordDecoder
--- a/src/cassiaford/gateway/_configuration.py
+++ b/src/cassiaford/gateway/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a gateway serves: routes, services and customers."""
+"""The configuration of a gateway: routes, services and customers."""
 
 import bisect
 import enum
@@ -7,7 +7,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What a route's requests allow."""
+    """Whether a route's requests may be repeated, or stream their responses."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A service that a route sends a share of its requests to."""
+    """A service that gets a weighted part of a route's requests."""
 
     service: str
     weight: float
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True)
 class Route:
-    """The requests of one host below one path prefix.
+    """The handling of requests to one host below one path prefix.
 
-    `time_out_s` bounds the whole answer, `target_latency_s` is the time
-    within which it should come or, of a stream, begin. `target_pause_s` is the
-    longest time that should pass between events, 0 if none is stated.
-    A caller leaves a stream that has not begun after `patience_s`.
-    `max_attempts` is the number of backend servers that may run one request.
+    `timeout_s` limits the whole response. `target_latency_s` is the time within
+    which it should come or, for a stream, start. `target_pause_s` is the
+    longest time that should pass between events, 0 if none is stated. A caller
+    leaves a stream that has not started after `patience_s`. `max_attempts` is
+    the number of backend servers that may run one request.
     """
 
     name: str
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What a service says of its model engines.
+    """The capacity of each of a service's model engines.
 
-    A token of cache takes `token_bytes`, and an engine moves cache at
-    `link_bytes_per_s`.
+    A cached token takes `token_bytes`, and an engine transfers cached prefixes
+    at `link_bytes_per_s`.
     """
 
     slots: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class PrefixStore:
-    """A store that keeps cached prefixes for engines, beside them."""
+    """A store outside the engines that keeps cached prefixes for them."""
 
     address: str
     data_centre: str
@@ -92,8 +92,9 @@
 class Customer:
     """A customer and its limits over all instances together.
 
-    `rate` is in tokens a second and `burst` in tokens; a rate of 0 is no
-    limit. A request that states no tokens counts as `plain_request_tokens`.
+    `rate` is in tokens a second and `burst` in tokens; a rate of 0 means no
+    limit. A request that states no tokens counts as `plain_request_tokens`. The
+    cached prefixes of an `isolated` customer are not shared with others.
     """
 
     name: str
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """The limits on a caller's requests, and on its time to send them or idle."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -116,9 +117,9 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the operators' configuration, in full.
+    """One complete version of the operators' configuration.
 
-    `customers_by_key` is empty if requests need no key.
+    Requests need no key if `customers` is empty.
     """
 
     version: int
@@ -149,7 +150,7 @@
             host[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a path, or None."""
+        """Return the route with the longest prefix of a path, or None."""
         prefixes = self._by_prefix.get(host.lower())
         if prefixes is None:
             return None
@@ -162,7 +163,7 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Return one of a route's services, by weight."""
+    """Choose one of a route's services at random, by weight."""
     targets = route.targets
     if len(targets) == 1:
         return targets[0].service
--- a/src/cassiaford/gateway/_copies.py
+++ b/src/cassiaford/gateway/_copies.py
@@ -1,4 +1,4 @@
-"""Copies of the shared store, for instances that it does not answer."""
+"""Copies of the shared store from peers, for instances that cannot reach it."""
 
 import asyncio
 
@@ -14,24 +14,24 @@
 from cassiaford.gateway.policy import PeerState
 from cassiaford.logs import Event
 
-# A peer's copy of the store is asked for at most this often.
-COPY_EVERY_S = 0.4
-COPY_TIME_OUT_S = 0.8
+# Copies are requested from peers no more often than this.
+MIN_COPY_INTERVAL_S = 0.4
+COPY_TIMEOUT_S = 0.8
 COPY_TARGET = "/mirror"
 
 
 class StoreCopies:
-    """Gives peers this instance's copy, and takes theirs in an outage."""
+    """Serves this instance's copy to peers, and fetches theirs in an outage."""
 
     def __init__(
         self, mirror: Mirror, sync: MirrorSync, pool: ConnectionPool, log: EventLog
     ):
         self.mirror = mirror
         self.sync = sync
-        self.caller = HttpClient(pool)
+        self.client = HttpClient(pool)
         self.log = log
         self._now = asyncio.get_running_loop().time
-        self._asked_at = -COPY_EVERY_S
+        self._requested_at = -MIN_COPY_INTERVAL_S
         self._task: asyncio.Task | None = None
 
     @staticmethod
@@ -41,21 +41,26 @@
 
     def body(self, target: str) -> bytes | None:
         """Return the copy, or None while it is not complete."""
-        return encode_snapshot(self.mirror.copies()) if self.mirror.complete else None
+        return encode_snapshot(self.mirror.snapshot()) if self.mirror.complete else None
 
     def on_newer_peer(self, peer: PeerState, revision: int) -> None:
-        """Take a peer's copy if the store does not answer."""
-        if self.sync.reachable or self._now() - self._asked_at < COPY_EVERY_S:
+        """Fetch the copy of a peer with a newer one if the store is unreachable."""
+        if (
+            self.sync.reachable
+            or self._now() - self._requested_at < MIN_COPY_INTERVAL_S
+        ):
             return
-        self._asked_at = self._now()
-        self._task = asyncio.create_task(self._take(peer))
+        self._requested_at = self._now()
+        self._task = asyncio.create_task(self._fetch(peer))
 
-    async def _take(self, peer):
+    async def _fetch(self, peer):
         try:
-            reply = await self.caller.call(
-                "GET", peer.peer_address, COPY_TARGET, COPY_TIME_OUT_S
+            reply = await self.client.call(
+                "GET", peer.peer_address, COPY_TARGET, COPY_TIMEOUT_S
             )
-            if reply.status == 200 and self.mirror.adopt(decode_snapshot(reply.body)):
+            if reply.status == 200 and self.mirror.apply_newer(
+                decode_snapshot(reply.body)
+            ):
                 self.log.write(Event.PEER_COPY_APPLIED, peer=peer.name)
         except (CallFailedError, PeerMessageError) as error:
             self.log.write(Event.PEER_MESSAGE_DROPPED, peer=peer.name, cause=str(error))
--- a/src/cassiaford/gateway/_event_log.py
+++ b/src/cassiaford/gateway/_event_log.py
@@ -1,14 +1,14 @@
-"""The log of one gateway: numbered events as JSON lines, bounded in volume."""
+"""The log of one gateway: numbered events as JSON lines, limited in volume."""
 
 import itertools
 import time
 
 from cassiaford.logs import Event, write_line
 
-# Lines a second over a long time, and in a burst; what is over is counted.
+# The sustained rate and the burst of lines; lines beyond them are only counted.
 LINES_PER_S = 60.0
 BURST_LINES = 300.0
-# Of requests that went well, one in so many is logged.
+# One in this many successful requests is logged.
 SAMPLE_EVERY = 50
 
 
@@ -18,29 +18,32 @@
     def __init__(self, instance: str, incarnation: int):
         self.instance = instance
         self.incarnation = incarnation
-        self.configuration = 0
+        self.configuration_version = 0
         self.dropped = 0
-        self._level = BURST_LINES
+        self._allowed_lines = BURST_LINES
         self._updated_at = time.monotonic()
-        self._completed = itertools.count()
+        self._sampled = itertools.count()
 
     def write(self, event: Event, **details: object) -> None:
-        """Write one line; details must hold neither a key nor a prompt."""
+        """Write one line; details must contain neither a key nor a prompt."""
         now = time.monotonic()
         earned = (now - self._updated_at) * LINES_PER_S
-        self._level = min(BURST_LINES, self._level + earned)
+        self._allowed_lines = min(BURST_LINES, self._allowed_lines + earned)
         self._updated_at = now
-        if self._level < 1.0:
+        if self._allowed_lines < 1.0:
             self.dropped += 1
             return
-        self._level -= 1.0
-        fields = {"instance": self.instance, "configuration": self.configuration}
+        self._allowed_lines -= 1.0
+        fields = {
+            "instance": self.instance,
+            "configuration": self.configuration_version,
+        }
         if self.dropped:
             fields["dropped_lines"] = self.dropped
             self.dropped = 0
         write_line(event.level, f"CF{event.number} {event.text}", fields | details)
 
     def write_sampled(self, event: Event, **details: object) -> None:
-        """Write one line of many of an event that is no trouble."""
-        if next(self._completed) % SAMPLE_EVERY == 0:
+        """Write one line for every `SAMPLE_EVERY` occurrences of a routine event."""
+        if next(self._sampled) % SAMPLE_EVERY == 0:
             self.write(event, one_of=SAMPLE_EVERY, **details)
--- a/src/cassiaford/gateway/_gateway.py
+++ b/src/cassiaford/gateway/_gateway.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from cassiaford.gateway._adapter import PlatformAdapter
 from cassiaford.gateway._caller_connection import CallerConnection, listen
 from cassiaford.gateway._clocks import SuspensionWatch
 from cassiaford.gateway._copies import StoreCopies
@@ -26,7 +27,6 @@
 from cassiaford.gateway._store import Change
 from cassiaford.gateway._tasks import run_with_restarts
 from cassiaford.gateway._view import View
-from cassiaford.gateway._world import PlatformAdapter
 from cassiaford.gateway.policy import (
     EnginePlacer,
     FleetRates,
--- a/src/cassiaford/gateway/_gauges.py
+++ b/src/cassiaford/gateway/_gauges.py
@@ -1,4 +1,4 @@
-"""What metrics and the log tell of a gateway's state."""
+"""The state of a gateway as gauges and as fields of log lines."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
     configuration = gateway.view.configuration
     yield "configuration_version", configuration.version if configuration else 0
     yield "store_reachable", float(sync.reachable)
-    yield "store_heard_age_seconds", now - (sync.heard_at or 0.0)
+    yield "store_heard_age_seconds", now - (sync.last_response_at or 0.0)
     yield "peers_live", len(gateway.table.live(now))
     yield "peers_expected", len(gateway.table.expected())
     yield "requests_in_progress", gateway.front.in_progress
@@ -21,20 +21,22 @@
     yield "prefill_tokens_per_second", gateway.engines.speed.tokens_per_s
     yield "engines_demanded", gateway.engines.demand(now)
     yield "log_lines_dropped", gateway.log.dropped
-    shares = gateway.rates.shares_left()
-    yield "customers_over_rate", sum(share <= 0.0 for share in shares)
-    yield "rate_left_least_share", min(shares, default=1.0)
+    fractions = gateway.rates.remaining_fractions()
+    yield "customers_over_rate", sum(fraction <= 0.0 for fraction in fractions)
+    yield "rate_left_least_share", min(fractions, default=1.0)
     budgets = gateway.front.parts.budgets.values()
     instances = gateway.front.instances()
-    left = [budget.left(now, instances) for budget in budgets]
-    yield "resends_left_least", min(left, default=0.0)
+    remaining = [budget.remaining(now, instances) for budget in budgets]
+    yield "resends_left_least", min(remaining, default=0.0)
 
 
 def state_ages(gateway, now: float) -> dict[str, object]:
-    """Return how old is what decisions rest on, for the log."""
-    heard_at = gateway.sync.heard_at
+    """Return how recent the state behind a decision is, as fields of a log line."""
+    last_response_at = gateway.sync.last_response_at
     return {
-        "store_age_s": None if heard_at is None else round(now - heard_at, 3),
+        "store_age_s": (
+            None if last_response_at is None else round(now - last_response_at, 3)
+        ),
         "peers_live": len(gateway.table.live(now)),
         "peers_expected": len(gateway.table.expected()),
     }
--- a/src/cassiaford/gateway/_mirror.py
+++ b/src/cassiaford/gateway/_mirror.py
@@ -1,4 +1,4 @@
-"""An instance's copy of what it uses of the shared store."""
+"""An instance's mirror of the parts of the shared store that it uses."""
 
 import asyncio
 import random
@@ -19,43 +19,42 @@
 )
 from cassiaford.logs import Event
 
-# A watch is answered at the latest after this time. A connection that has gone
-# silent is found sooner, by the kernel's probes.
-WATCH_S = 20.0
-# Changes that come together are fetched together.
-GATHER_S = 0.25
-# After a failed call the store is asked again after this time, twice as long
-# after each further failure up to the maximum.
-FIRST_RETRY_S = 0.1
-MAX_RETRY_S = 0.8
+# A watch without changes returns after this time. The kernel's keep-alive
+# probes detect a silent connection sooner.
+WATCH_TIMEOUT_S = 20.0
+# Changes within this time of each other are fetched together.
+BATCH_WINDOW_S = 0.25
+# The delay after a failed call doubles with each further failure.
+FIRST_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.8
 
 
 class MirrorListener(ABC):
-    """Is told what changes in the mirror."""
+    """Receives the changes of a mirror."""
 
     @abstractmethod
-    def changed(self, change: Change) -> None:
-        """Take in a change of one key."""
+    def on_change(self, change: Change) -> None:
+        """Process a change of one key."""
 
     @abstractmethod
-    def store_lost(self) -> None:
-        """Take in that the store does not answer."""
+    def on_store_lost(self) -> None:
+        """Process the failure of a call to the store."""
 
     @abstractmethod
-    def store_returned(self) -> None:
-        """Take in that the store answers again after an outage."""
+    def on_store_recovered(self) -> None:
+        """Process the first response of the store after an outage."""
 
 
 @dataclass(frozen=True)
 class Section:
-    """Keys below a prefix, and how long changes to them are gathered."""
+    """The keys below a prefix; their changes are batched for a time."""
 
     prefix: str
-    gather_s: float = GATHER_S
+    batch_window_s: float = BATCH_WINDOW_S
 
 
 class Mirror:
-    """Keeps sections of the store, from the store or from a peer's mirror."""
+    """Holds sections of the store, from the store or from a peer's mirror."""
 
     def __init__(self, sections: tuple[Section, ...], listener: MirrorListener):
         self.sections = sections
@@ -64,36 +63,36 @@
         self.revisions: dict[str, int] = {s.prefix: 0 for s in sections}
 
     def replace(self, prefix: str, page: Page) -> None:
-        """Take in all items of a section as of a revision."""
-        known = self.items[prefix]
-        for key in set(known) - {item.key for item in page.items}:
-            del known[key]
-            self.listener.changed(Change(key, page.revision, None))
+        """Replace all items of a section by those of a revision."""
+        items = self.items[prefix]
+        for key in set(items) - {item.key for item in page.items}:
+            del items[key]
+            self.listener.on_change(Change(key, page.revision, None))
         for item in page.items:
             self._put(prefix, item)
         self.revisions[prefix] = page.revision
 
     def apply(self, prefix: str, changes: Changes) -> None:
-        """Take in the changes of a section up to a revision."""
+        """Apply the changes of a section up to a revision."""
         for change in changes.changes:
             if change.item is not None:
                 self._put(prefix, change.item)
             elif self.items[prefix].pop(change.key, None) is not None:
-                self.listener.changed(change)
+                self.listener.on_change(change)
         self.revisions[prefix] = max(changes.revision, self.revisions[prefix])
 
-    def adopt(self, copies: dict[str, Page]) -> bool:
-        """Take in a peer's newer copies; return whether there were any."""
+    def apply_newer(self, snapshot: dict[str, Page]) -> bool:
+        """Apply the newer sections of a peer's mirror; return whether any was newer."""
         newer = {
             prefix: page
-            for prefix, page in copies.items()
+            for prefix, page in snapshot.items()
             if page.revision > self.revisions.get(prefix, page.revision)
         }
         for prefix, page in newer.items():
             self.replace(prefix, page)
         return bool(newer)
 
-    def copies(self) -> dict[str, Page]:
+    def snapshot(self) -> dict[str, Page]:
         """Return all sections."""
         return {
             prefix: Page(tuple(items.values()), self.revisions[prefix])
@@ -107,20 +106,21 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every section has been read once."""
+        """Whether every section has been read at least once."""
         return all(self.revisions.values())
 
     def _put(self, prefix, item):
-        known = self.items[prefix].get(item.key)
-        if known is None or known.revision < item.revision:
+        previous = self.items[prefix].get(item.key)
+        if previous is None or previous.revision < item.revision:
             self.items[prefix][item.key] = item
-            self.listener.changed(Change(item.key, item.revision, item))
+            self.listener.on_change(Change(item.key, item.revision, item))
 
 
 class MirrorSync:
-    """Keeps a mirror in step with the store, one watch a section.
+    """Synchronizes a mirror with the store, with one watch for each section.
 
-    `reachable` is false from the first failed call until the next answer.
+    It also tracks for all clients of the store whether it is `reachable`: this
+    is false from the first failed call until each failed client has a response.
     """
 
     def __init__(
@@ -137,13 +137,13 @@
         self.log = log
         self.clock = clock
         self.failing: set[str] = set()
-        self.heard_at: float | None = None
+        self.last_response_at: float | None = None
         self.lost_at: float | None = None
 
     @property
     def reachable(self) -> bool:
-        """Whether the store's newest answers came."""
-        return self.heard_at is not None and not self.failing
+        """Whether the store has responded to every client's latest call."""
+        return self.last_response_at is not None and not self.failing
 
     async def run(self) -> None:
         """Follow every section until cancelled."""
@@ -152,61 +152,62 @@
                 group.create_task(self._follow(section))
 
     async def _follow(self, section):
-        retry_s = FIRST_RETRY_S
-        read = False
+        delay_s = FIRST_RETRY_DELAY_S
+        loaded = False
         while True:
             try:
-                if read:
+                if loaded:
                     await self._watch(section)
                 else:
-                    await self._read(section)
-                    read = True
-                retry_s = FIRST_RETRY_S
+                    await self._load(section)
+                    loaded = True
+                delay_s = FIRST_RETRY_DELAY_S
             except HistoryLostError:
-                self.answered(section.prefix)
-                read = False
+                self.record_success(section.prefix)
+                loaded = False
             except StoreError as error:
-                self.failed(section.prefix, error)
-                await asyncio.sleep(retry_s * (0.5 + self.rng.random()))
-                retry_s = min(2 * retry_s, MAX_RETRY_S)
+                self.record_failure(section.prefix, error)
+                await asyncio.sleep(delay_s * (0.5 + self.rng.random()))
+                delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
-    async def _read(self, section):
+    async def _load(self, section):
         page = await self.store.read(section.prefix)
-        # Before what lapsed in an outage is taken in as removed.
-        self.answered(section.prefix)
+        # The listener must know of the recovery before it gets the removal of
+        # entries that lapsed in the outage.
+        self.record_success(section.prefix)
         self.mirror.replace(section.prefix, page)
 
     async def _watch(self, section):
         after = self.mirror.revisions[section.prefix]
-        changes = await self.store.watch(section.prefix, after, WATCH_S)
-        self.answered(section.prefix)
+        changes = await self.store.watch(section.prefix, after, WATCH_TIMEOUT_S)
+        self.record_success(section.prefix)
         self.mirror.apply(section.prefix, changes)
         if changes.changes:
-            await asyncio.sleep(section.gather_s)
+            await asyncio.sleep(section.batch_window_s)
 
-    def answered(self, caller: str) -> None:
-        """Take note that a call was answered; `caller` tells calls apart."""
-        self.heard_at = self.clock()
-        self.no_longer_calls(caller)
+    def record_success(self, client: str) -> None:
+        """Record the response to a call of a client of the store."""
+        self.last_response_at = self.clock()
+        self.clear_failure(client)
 
-    def no_longer_calls(self, caller: str) -> None:
-        """Leave a failed call out of account; it is not made again."""
-        if caller not in self.failing:
+    def clear_failure(self, client: str) -> None:
+        """Remove the failure of a client that succeeded or makes no more calls."""
+        if client not in self.failing:
             return
-        self.failing.discard(caller)
-        self.mirror.listener.store_returned()
+        self.failing.discard(client)
+        self.mirror.listener.on_store_recovered()
         if not self.failing:
             away_s = round(self.clock() - self.lost_at, 3)
             self.log.write(Event.KEY_VALUE_RECOVERED, away_s=away_s)
 
-    def failed(self, caller: str, error: StoreError) -> None:
-        """Take note that a call failed.
+    def record_failure(self, client: str, error: StoreError) -> None:
+        """Record the failure of a client's call.
 
-        A watch may wait through an outage unharmed, so that only other calls
-        tell of it.
+        A watch may wait through an outage without an error, so only the other
+        calls reveal it.
         """
         if not self.failing:
             self.lost_at = self.clock()
-            self.log.write(Event.KEY_VALUE_LOST, caller=caller, cause=str(error))
-            self.mirror.listener.store_lost()
-        self.failing.add(caller)
+            self.log.write(Event.KEY_VALUE_LOST, caller=client, cause=str(error))
+            self.mirror.listener.on_store_lost()
+        self.failing.add(client)
--- a/src/cassiaford/gateway/_orders.py
+++ b/src/cassiaford/gateway/_orders.py
@@ -1,15 +1,15 @@
-"""Orders for new weights, given by one instance that holds a lease for it.
+"""Orders to load new weights, given by the one instance that holds a lease.
 
-The key of the orderer lies in the store under a lease; the revision at which
-it was written is the fencing token. The holder stops before its lease can
-have run out, by a clock that also counts while the machine is suspended.
+The orderer's key lies in the store under the lease; the revision at which it
+was written is the fencing token. The holder stops before its lease can have
+expired, by a clock that also runs while the machine is suspended.
 """
 
 import asyncio
 import random
 from collections.abc import Callable
 
-from cassiaford.gateway._clocks import suspended_time
+from cassiaford.gateway._clocks import boot_time
 from cassiaford.gateway._engine_control import (
     EngineCallError,
     EngineControl,
@@ -28,26 +28,26 @@
     Write,
 )
 from cassiaford.gateway._view import View
-from cassiaford.gateway.policy import GiveOrder, Rollout, RollOutServer
+from cassiaford.gateway.policy import LoadOrder, Rollout, RolloutServer
 from cassiaford.logs import Event
 
-# The lease outlives three lost renewals; a new holder follows a lost one
-# well within the shortest time for a version.
+# The lease survives three lost renewals; another instance takes over well
+# within the shortest time allowed for a version.
 LEASE_S = 2.0
-RENEW_S = 0.5
-# Tells its calls to the store apart from others.
-CALLER = "orders"
-# The holder stops this long before its lease may have run out.
+RENEWAL_INTERVAL_S = 0.5
+# Identifies these calls in the tracking of the store's reachability.
+STORE_CLIENT = "orders"
+# The holder stops this long before its lease may have expired.
 LEASE_MARGIN_S = 0.5
-# How often the holder looks at engines that load.
-STEP_S = 0.1
-# An instance that finds the key free waits up to this long, so that not all
-# write at once.
-STAND_SPREAD_S = 0.25
+# Interval at which the holder checks the engines.
+STEP_INTERVAL_S = 0.1
+# An instance that finds no orderer waits up to this long, so that not all
+# instances write at the same time.
+MAX_ACQUIRE_DELAY_S = 0.25
 
 
 class Orderer:
-    """Stands for the orderer's lease, and orders engines while it holds it."""
+    """Competes for the orderer's lease, and orders engines while it holds it."""
 
     def __init__(
         self,
@@ -73,42 +73,42 @@
         self.fencing = 0
         self.lease = 0
         self.valid_until = 0.0
-        self.taken = False
+        self.key_exists = False
         self.stopping = False
         self.running_tokens = lambda key: 0
         self.unstarted = lambda key: 0
         self.unreachable = lambda: frozenset()
         self.demand = lambda now: 0.0
         self.on_out_of_use: Callable[[frozenset[int]], None] = lambda keys: None
-        self._told_held: frozenset[int] = frozenset()
-        self._orders: dict[int, asyncio.Task] = {}
+        self._reported_out_of_use: frozenset[int] = frozenset()
+        self._order_tasks: dict[int, asyncio.Task] = {}
         self._now = asyncio.get_running_loop().time
 
     @property
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this instance may give orders now."""
-        return self.fencing > 0 and suspended_time() < self.valid_until
+        return self.fencing > 0 and boot_time() < self.valid_until
 
     @property
-    def held(self) -> frozenset[int]:
+    def out_of_use(self) -> frozenset[int]:
         """The engines that this instance has taken out of use."""
-        return frozenset(self.rollout.held) if self.holds else frozenset()
+        return frozenset(self.rollout.out_of_use) if self.holds_lease else frozenset()
 
     def on_key_changed(self, present: bool) -> None:
-        """Take in whether the orderer's key is there."""
-        self.taken = present
+        """Record whether the orderer's key exists."""
+        self.key_exists = present
 
     async def run(self) -> None:
-        """Stand, hold and order until cancelled."""
+        """Acquire the lease and give orders until cancelled."""
         while True:
             if self.fencing:
-                await self._hold()
-            elif not self.taken and not self.stopping and self._work_to_do():
-                await self._stand()
-            await asyncio.sleep(STEP_S)
+                await self._give_orders()
+            elif not self.key_exists and not self.stopping and self._has_work():
+                await self._acquire_lease()
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     async def resign(self) -> None:
-        """Let another instance take over at once."""
+        """Remove the key, so that another instance can take over immediately."""
         self.stopping = True
         fencing, self.fencing = self.fencing, 0
         if not fencing:
@@ -116,12 +116,12 @@
         try:
             await self.store.remove(self.key, fencing)
         except StoreError as error:
-            # The lease runs out by itself.
+            # The lease expires by itself.
             self.log.write(Event.ORDERS_SUSPENDED, cause=str(error))
 
     def _servers(self):
         return [
-            RollOutServer(
+            RolloutServer(
                 key, model, version, self.running_tokens(key), self.unstarted(key)
             )
             for model in self.view.named_versions.models
@@ -130,14 +130,14 @@
             for version in (server.versions[model],)
         ]
 
-    def _work_to_do(self):
-        return bool(self.rollout.behind(self._servers()))
+    def _has_work(self):
+        return bool(self.rollout.outdated(self._servers()))
 
-    async def _stand(self):
-        await asyncio.sleep(self.rng.random() * STAND_SPREAD_S)
-        if self.taken:
+    async def _acquire_lease(self):
+        await asyncio.sleep(self.rng.random() * MAX_ACQUIRE_DELAY_S)
+        if self.key_exists:
             return
-        asked_at = suspended_time()
+        requested_at = boot_time()
         try:
             lease = await self.store.grant_lease(LEASE_S)
             result = await self.store.transact(
@@ -146,80 +146,80 @@
             )
         except StoreError as error:
             self.log.write(Event.ORDERS_SUSPENDED, cause=str(error))
-            await asyncio.sleep(RENEW_S)
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
             return
         if not isinstance(result, Committed):
-            self.taken = True
+            self.key_exists = True
             return
-        self.taken = True
+        self.key_exists = True
         self.lease = lease
         self.fencing = result.revision
-        self.valid_until = asked_at + LEASE_S - LEASE_MARGIN_S
+        self.valid_until = requested_at + LEASE_S - LEASE_MARGIN_S
         self.rollout.turns.clear()
         self.log.write(Event.ORDERS_RESUMED, fencing=self.fencing)
 
-    async def _hold(self):
-        """Order while the lease lasts; renewals go on beside the orders."""
+    async def _give_orders(self):
+        """Give orders while the lease lasts, and renew it concurrently."""
         renewals = asyncio.create_task(self._renew())
         try:
-            while self.fencing and suspended_time() < self.valid_until:
+            while self.fencing and boot_time() < self.valid_until:
                 self._give_due_orders()
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(STEP_INTERVAL_S)
         finally:
             renewals.cancel()
-            for task in self._orders.values():
+            for task in self._order_tasks.values():
                 task.cancel()
-            self._orders.clear()
-            self.sync.no_longer_calls(CALLER)
+            self._order_tasks.clear()
+            self.sync.clear_failure(STORE_CLIENT)
         if self.fencing:
             self.log.write(Event.ORDERS_SUSPENDED, cause="lease not renewed")
         self.fencing = 0
         self.rollout.turns.clear()
-        self._tell_held()
+        self._report_out_of_use()
 
     async def _renew(self):
         while self.fencing:
-            await asyncio.sleep(RENEW_S)
-            asked_at = suspended_time()
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
+            requested_at = boot_time()
             try:
                 await self.store.renew_lease(self.lease)
             except LeaseEndedError:
                 self.valid_until = 0.0
                 return
             except StoreError as error:
-                self.sync.failed(CALLER, error)
+                self.sync.record_failure(STORE_CLIENT, error)
                 continue
-            self.sync.answered(CALLER)
-            self.valid_until = asked_at + LEASE_S - LEASE_MARGIN_S
+            self.sync.record_success(STORE_CLIENT)
+            self.valid_until = requested_at + LEASE_S - LEASE_MARGIN_S
 
     def _give_due_orders(self):
         now = self._now()
         orders = self.rollout.plan(self._servers(), now, self.demand(now))
-        self._tell_held()
+        self._report_out_of_use()
         for order in orders:
-            known = self._orders.get(order.key)
-            if known is None or known.done():
+            previous = self._order_tasks.get(order.key)
+            if previous is None or previous.done():
                 task = asyncio.create_task(self._order(order))
-                self._orders[order.key] = task
+                self._order_tasks[order.key] = task
 
-    def _tell_held(self):
-        held = self.held
-        if held != self._told_held:
-            self._told_held = held
-            self.on_out_of_use(held)
+    def _report_out_of_use(self):
+        out_of_use = self.out_of_use
+        if out_of_use != self._reported_out_of_use:
+            self._reported_out_of_use = out_of_use
+            self.on_out_of_use(out_of_use)
 
-    async def _order(self, order: GiveOrder):
+    async def _order(self, order: LoadOrder):
         server = self.view.engines_of(order.model).get(order.key)
         if server is None:
             return
         try:
             report = await self.control.report(server)
             if report.versions.get(order.model, 0) >= order.version:
-                # Its entry in the store, which ends its turn, is on the way.
+                # The engine's entry in the store will follow and end its turn.
                 return
-            if not self.holds:
+            if not self.holds_lease:
                 return
-            answer = await self.control.order(
+            response = await self.control.order(
                 server,
                 VersionOrder(
                     order.model,
@@ -229,22 +229,22 @@
                     report.orders_accepted,
                 ),
             )
-            self._answered(order, server, answer)
+            self._handle_response(order, server, response)
         except WrongServerError:
             self.view.record_replacement(server)
         except EngineCallError as error:
             self.log.write(
                 Event.ORDER_NOT_ACCEPTED, server=server.server_id, cause=str(error)
             )
-            self.rollout.order_lost(order.key)
+            self.rollout.record_failed_order(order.key)
 
-    def _answered(self, order, server, answer):
-        if answer in (OrderResponse.ACCEPTED, OrderResponse.ALREADY_LOADED):
+    def _handle_response(self, order, server, response):
+        if response in (OrderResponse.ACCEPTED, OrderResponse.ALREADY_LOADED):
             event = Event.LOAD_ORDERED
         else:
             event = Event.ORDER_NOT_ACCEPTED
-            self.rollout.order_lost(order.key)
-        if answer is OrderResponse.FENCED_OFF:
+            self.rollout.record_failed_order(order.key)
+        if response is OrderResponse.FENCED_OFF:
             self.valid_until = 0.0
         self.log.write(
             event,
@@ -252,5 +252,5 @@
             model=order.model,
             version=order.version,
             fencing=self.fencing,
-            answer=answer.value,
+            answer=response.value,
         )
--- a/src/cassiaford/gateway/_peer_codec.py
+++ b/src/cassiaford/gateway/_peer_codec.py
@@ -1,4 +1,4 @@
-"""The encoding of what instances tell each other."""
+"""The encoding of the messages between instances."""
 
 from dataclasses import dataclass, field
 
@@ -12,17 +12,17 @@
 
 
 class PeerMessageError(ValueError):
-    """A message that is not one of an instance."""
+    """A message from a peer that cannot be decoded."""
 
 
 @dataclass(frozen=True)
 class Report:
-    """What an instance tells its peers several times a second.
+    """The report that an instance sends to its peers several times a second.
 
-    `work`, `held` and `unreachable` name backend servers by digest, `spending`
-    customers, and `placements` units and engines. Only a whole report has the
-    sender's state and what it learned of the engines' speed; another one has its
-    digest and names only changes.
+    `work`, `out_of_use` and `unreachable` name backend servers by digest,
+    `spending` customers, and `placements` prefixes and engines. Only a whole
+    report has the sender's state and its estimate of the prefill speed; others
+    identify the sender by its digest and contain only changes.
     """
 
     sender: int
@@ -30,16 +30,16 @@
     sequence: int
     state: PeerState | None = None
     revision: int = 0
-    read_speed: int = 0
+    prefill_speed: int = 0
     work: dict[int, PlacedWork] = field(default_factory=dict)
     spending: dict[int, int] = field(default_factory=dict)
-    held: frozenset[int] = frozenset()
+    out_of_use: frozenset[int] = frozenset()
     unreachable: frozenset[int] = frozenset()
     placements: tuple[tuple[int, int], ...] = ()
 
     @property
     def whole(self) -> bool:
-        """Whether the report names everything."""
+        """Whether the report contains the whole state."""
         return self.state is not None
 
 
@@ -50,12 +50,12 @@
         incarnation=report.incarnation,
         whole=report.whole,
         revision=report.revision,
-        readSpeed=report.read_speed,
+        readSpeed=report.prefill_speed,
         sequence=report.sequence,
-        held=sorted(report.held),
+        held=sorted(report.out_of_use),
         unreachable=sorted(report.unreachable),
         placements=[
-            {"unit": unit, "server": server} for unit, server in report.placements
+            {"unit": prefix, "server": server} for prefix, server in report.placements
         ],
     )
     if report.state is not None:
@@ -67,7 +67,7 @@
     work = message.init("work", len(report.work))
     for entry, (server, placed) in zip(work, report.work.items(), strict=True):
         entry.server = server
-        entry.readTokens = placed.read_tokens
+        entry.readTokens = placed.prefill_tokens
         entry.running = min(placed.running, 0xFFFF)
         entry.tokens = placed.tokens
         entry.unstarted = min(placed.unstarted, 0xFFFF)
@@ -90,7 +90,7 @@
             sequence=message.sequence,
             state=_state(message) if message.whole else None,
             revision=message.revision,
-            read_speed=message.readSpeed,
+            prefill_speed=message.readSpeed,
             work={
                 w.server: PlacedWork(
                     w.readTokens,
@@ -101,7 +101,7 @@
                 for w in message.work
             },
             spending={s.customer: s.tokens for s in message.spending},
-            held=frozenset(message.held),
+            out_of_use=frozenset(message.held),
             unreachable=frozenset(message.unreachable),
             placements=tuple((p.unit, p.server) for p in message.placements),
         )
--- a/src/cassiaford/gateway/_peers.py
+++ b/src/cassiaford/gateway/_peers.py
@@ -22,20 +22,20 @@
 )
 from cassiaford.logs import Event
 
-# How often work and spending are told. A prompt is read in tens of
-# milliseconds, so older word would come after the fact.
-REPORT_S = 0.1
-# So much work placed by one instance is told at once: others would place short
+# A prefill takes tens of milliseconds, so less frequent reports of work would
+# come after the fact.
+REPORT_INTERVAL_S = 0.1
+# Placing this much work triggers a report immediately: peers would place short
 # prompts behind it, whose targets are a few tenths of a second.
-TELL_AT_ONCE_S = 0.05
-# Everything is told again this often, for peers that missed a report.
-WHOLE_EVERY = 10
-# Reports that say nothing new are left out, up to this many.
-MOST_LEFT_OUT = 3
+IMMEDIATE_REPORT_WORK_S = 0.05
+# One report of so many is whole, for peers that missed a report.
+WHOLE_EVERY_REPORTS = 10
+# Up to this many reports in a row are skipped if nothing has changed.
+MAX_SKIPPED_REPORTS = 3
 
 
 class PeerReports(asyncio.DatagramProtocol):
-    """Tells peers what this instance does, and learns what they do."""
+    """Sends reports to peers, and applies the reports received from them."""
 
     def __init__(
         self,
@@ -52,105 +52,105 @@
         self.services = services
         self.rates = rates
         self.log = log
-        self.held: frozenset[int] = frozenset()
+        self.out_of_use: frozenset[int] = frozenset()
         self.unreachable: frozenset[int] = frozenset()
         self.on_unreachable: Callable[[frozenset[int]], None] = lambda keys: None
         self.revision = lambda: 0
         self.on_newer_peer: Callable[[PeerState, int], None] = lambda peer, revision: (
             None
         )
-        self.peers_held: dict[str, frozenset[int]] = {}
+        self.peers_out_of_use: dict[str, frozenset[int]] = {}
         self.on_out_of_use: Callable[[], None] = lambda: None
-        self.customers: dict[int, str] = {}
+        self.customers_by_digest: dict[int, str] = {}
         self.transport: asyncio.DatagramTransport | None = None
         self._sequence = itertools.count(1)
         self._newest: dict[int, tuple[int, int]] = {}
         self._states: dict[int, PeerState] = {}
-        self._told = {}
-        self._left_out = 0
-        self._untold_s = 0.0
+        self._reported = {}
+        self._skipped = 0
+        self._unreported_s = 0.0
         self._rounds = itertools.count()
         self._now = asyncio.get_running_loop().time
 
     def connection_made(self, transport):
-        """Take the socket in."""
+        """Store the transport of the socket."""
         self.transport = transport
 
     def error_received(self, exc):
-        """Pass over a peer's closed port; its silence is noticed."""
+        """Ignore a peer's closed port; its silence is detected anyway."""
 
     def datagram_received(self, data, addr):
-        """Take in a report."""
+        """Process a report."""
         try:
             report = decode_report(data)
         except PeerMessageError as error:
             self.log.write(Event.PEER_MESSAGE_DROPPED, peer=addr[0], cause=str(error))
             return
         if report.sender != digest(self.state.name) and self._is_new(report):
-            self._take_in(report)
+            self._apply(report)
 
     def set_customers(self, names) -> None:
-        """Take in the customers' names, which reports hold by digest."""
-        self.customers = {digest(name): name for name in names}
+        """Set the customers' names, which reports contain as digests."""
+        self.customers_by_digest = {digest(name): name for name in names}
 
     def set_out_of_use(self, keys: frozenset[int]) -> None:
-        """Tell peers at once which engines this instance takes out of use."""
-        self.held = keys
+        """Report immediately which engines this instance takes out of use."""
+        self.out_of_use = keys
         self.send_report()
         self.on_out_of_use()
 
     def all_out_of_use(self) -> frozenset[int]:
         """Return the engines that any live instance has taken out of use."""
         live = {peer.name for peer in self.table.live(self._now())}
-        held = [h for name, h in self.peers_held.items() if name in live]
-        return self.held.union(*held)
+        reported = [k for name, k in self.peers_out_of_use.items() if name in live]
+        return self.out_of_use.union(*reported)
 
     def record_placement(self, prefill_s: float) -> None:
-        """Take note of work that was placed on an engine."""
-        self._untold_s += prefill_s
-        if self._untold_s >= TELL_AT_ONCE_S:
+        """Record work that was placed on an engine."""
+        self._unreported_s += prefill_s
+        if self._unreported_s >= IMMEDIATE_REPORT_WORK_S:
             self.send_report()
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             self.send_report()
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     def send_report(self) -> None:
-        """Send one report, of what has changed or of everything."""
+        """Send one report, of the changes or of the whole state."""
         if self.transport is None or self.transport.is_closing():
             return
-        self._untold_s = 0.0
-        whole = next(self._rounds) % WHOLE_EVERY == 0
+        self._unreported_s = 0.0
+        whole = next(self._rounds) % WHOLE_EVERY_REPORTS == 0
         work = self._work()
         spending = {digest(n): round(t) for n, t in self.rates.spent().items()}
-        placements = tuple(self.engines.prefix_locations.take_to_tell())
-        now_told = {
+        placements = tuple(self.engines.prefix_locations.pop_unreported())
+        current = {
             "work": work,
             "spending": spending,
-            "held": self.held,
+            "held": self.out_of_use,
             "unreachable": self.unreachable,
         }
-        same = now_told == self._told and not placements
-        if not whole and same and self._left_out < MOST_LEFT_OUT:
-            self._left_out += 1
+        same = current == self._reported and not placements
+        if not whole and same and self._skipped < MAX_SKIPPED_REPORTS:
+            self._skipped += 1
             return
-        self._left_out = 0
+        self._skipped = 0
         if not whole:
-            work = _changed(work, self._told.get("work", {}))
-            spending = _changed(spending, self._told.get("spending", {}))
-        self._told = now_told
+            work = _changed(work, self._reported.get("work", {}))
+            spending = _changed(spending, self._reported.get("spending", {}))
+        self._reported = current
         report = Report(
             sender=digest(self.state.name),
             incarnation=self.state.incarnation,
             sequence=next(self._sequence),
             state=self.state if whole else None,
             revision=self.revision(),
-            read_speed=round(self.engines.speed.learned) if whole else 0,
+            prefill_speed=round(self.engines.speed.own_tokens_per_s) if whole else 0,
             work=work,
             spending=spending,
-            held=self.held,
+            out_of_use=self.out_of_use,
             unreachable=self.unreachable,
             placements=placements,
         )
@@ -161,10 +161,10 @@
 
     def _work(self):
         work = self.engines.own_work()
-        for key, running in self.services.own.items():
+        for key, running in self.services.own_running.items():
             work[key] = _plain_work(running)
-        told = self._told.get("work", {})
-        for key, placed in told.items():
+        reported = self._reported.get("work", {})
+        for key, placed in reported.items():
             if key not in work and placed.running:
                 work[key] = _plain_work(0)
         return work
@@ -186,28 +186,28 @@
             return None
         return state
 
-    def _take_in(self, report):
+    def _apply(self, report):
         now = self._now()
         state = self._sender(report)
         if state is None:
             return
         name = state.name
-        self.table.hear(state, now)
-        if report.read_speed:
-            self.engines.speed.hear(name, report.read_speed)
+        self.table.update_from_peer(state, now)
+        if report.prefill_speed:
+            self.engines.speed.update_from_peer(name, report.prefill_speed)
         self.engines.update_from_peer(name, report.work, report.whole, now)
-        self.engines.prefix_locations.hear(report.placements, now)
-        running = {} if report.whole else dict(self.services.peers.get(name, {}))
+        self.engines.prefix_locations.update_from_peer(report.placements, now)
+        running = {} if report.whole else dict(self.services.peer_running.get(name, {}))
         running.update({key: w.running for key, w in report.work.items()})
-        self.services.hear(name, running)
+        self.services.update_from_peer(name, running)
         spent = {
-            self.customers[key]: tokens
+            self.customers_by_digest[key]: tokens
             for key, tokens in report.spending.items()
-            if key in self.customers
+            if key in self.customers_by_digest
         }
         self.rates.update_from_peer(name, report.incarnation, spent, now)
-        if self.peers_held.get(name, frozenset()) != report.held:
-            self.peers_held[name] = report.held
+        if self.peers_out_of_use.get(name, frozenset()) != report.out_of_use:
+            self.peers_out_of_use[name] = report.out_of_use
             self.on_out_of_use()
         self.on_unreachable(report.unreachable)
         if report.revision > self.revision():
--- a/src/cassiaford/gateway/_prober.py
+++ b/src/cassiaford/gateway/_prober.py
@@ -1,4 +1,4 @@
-"""Trying connections to backend servers that could not be reached."""
+"""Probes of backend servers and prefix stores that could not be reached."""
 
 import asyncio
 
@@ -10,17 +10,18 @@
 from cassiaford.logs import Event
 
 # A backend server in the same region accepts a connection within milliseconds;
-# a lost packet is not taken for a lost server twice in a row.
-PROBE_TIME_OUT_S = 0.4
-FIRST_PAUSE_S = 0.2
-MAX_PAUSE_S = 1.5
-# An engine that fetches from a dead store loses some hundred milliseconds, so
-# stores are tried this often, beside requests.
-STORE_EVERY_S = 0.8
+# a lost packet fails one probe, but hardly two in a row.
+PROBE_TIMEOUT_S = 0.4
+# The delay between probes doubles from the first to the second of these.
+FIRST_PROBE_DELAY_S = 0.2
+MAX_PROBE_DELAY_S = 1.5
+# An engine that fetches from a failed store loses some hundred milliseconds,
+# so stores are probed independently of requests.
+STORE_PROBE_INTERVAL_S = 0.8
 
 
 class PrefixStoreProber:
-    """Finds out which stores for prefixes cannot be reached."""
+    """Detects which prefix stores cannot be reached."""
 
     def __init__(self, view: View, pool: ConnectionPool, log: EventLog):
         self.view = view
@@ -29,39 +30,41 @@
         self.unreachable: frozenset[str] = frozenset()
 
     async def run(self) -> None:
-        """Try every store, again and again, until cancelled."""
+        """Probe every store at intervals until cancelled."""
         while True:
             configuration = self.view.configuration
             stores = configuration.prefix_stores if configuration else ()
-            away = [s.address for s in stores if not await self._reachable(s.address)]
-            self._take_in(frozenset(away))
-            await asyncio.sleep(STORE_EVERY_S)
+            unreachable = [
+                s.address for s in stores if not await self._is_reachable(s.address)
+            ]
+            self._update(frozenset(unreachable))
+            await asyncio.sleep(STORE_PROBE_INTERVAL_S)
 
-    async def _reachable(self, address):
+    async def _is_reachable(self, address):
         try:
-            connection = await self.pool.connect(address, PROBE_TIME_OUT_S)
+            connection = await self.pool.connect(address, PROBE_TIMEOUT_S)
         except ExchangeError:
-            # That it cannot be reached is the answer.
+            # The failure is the result of the probe, so it is not logged.
             return False
         connection.close()
         return True
 
-    def _take_in(self, away):
-        for address in away - self.unreachable:
+    def _update(self, unreachable):
+        for address in unreachable - self.unreachable:
             self.log.write(Event.PREFIX_STORE_LOST, address=address)
-        for address in self.unreachable - away:
+        for address in self.unreachable - unreachable:
             self.log.write(Event.PREFIX_STORE_RECOVERED, address=address)
-        self.unreachable = away
+        self.unreachable = unreachable
 
 
 class ServerProber:
-    """Finds out when a server can be reached again, so that no request has to."""
+    """Detects when a server can be reached again, without using requests."""
 
     def __init__(
-        self, view: View, trust: ServerHealth, pool: ConnectionPool, log: EventLog
+        self, view: View, health: ServerHealth, pool: ConnectionPool, log: EventLog
     ):
         self.view = view
-        self.trust = trust
+        self.health = health
         self.pool = pool
         self.log = log
         self.tasks: dict[int, asyncio.Task] = {}
@@ -70,20 +73,20 @@
     @property
     def unreachable(self) -> frozenset[int]:
         """The servers that this instance cannot reach, by key."""
-        return frozenset(self.trust.unreachable_servers)
+        return frozenset(self.health.unreachable_servers)
 
     def record_unreachable(self, server: BackendServer) -> None:
-        """Take note that a server could not be reached; try it until it can."""
+        """Record that a server could not be reached, and probe it until it can."""
         key = server_key(server)
-        self.trust.unreachable(key, self._now())
+        self.health.record_unreachable(key, self._now())
         self.pool.close_idle(server.address)
         self.log.write(Event.SERVER_SUSPECTED, server=server.server_id)
         self._start(key)
 
     def probe_reported(self, keys: frozenset[int]) -> None:
-        """Try servers that a peer cannot reach, before a request has to."""
-        for key in keys - self.trust.unreachable_servers:
-            if not self.trust.answered_lately(key, self._now()):
+        """Probe the servers that a peer reports as unreachable."""
+        for key in keys - self.health.unreachable_servers:
+            if not self.health.succeeded_recently(key, self._now()):
                 self._start(key)
 
     def _start(self, key):
@@ -92,19 +95,19 @@
             self.tasks[key] = asyncio.create_task(self._probe(key))
 
     async def _probe(self, key):
-        pause_s = FIRST_PAUSE_S
+        delay_s = FIRST_PROBE_DELAY_S
         while (server := self._server(key)) is not None:
             try:
-                connection = await self.pool.connect(server.address, PROBE_TIME_OUT_S)
+                connection = await self.pool.connect(server.address, PROBE_TIMEOUT_S)
             except ExchangeError:
-                self.trust.unreachable(key, self._now())
-                await asyncio.sleep(pause_s)
-                pause_s = min(2 * pause_s, MAX_PAUSE_S)
+                self.health.record_unreachable(key, self._now())
+                await asyncio.sleep(delay_s)
+                delay_s = min(2 * delay_s, MAX_PROBE_DELAY_S)
                 continue
             self.pool.add_idle(server.address, connection)
-            if key in self.trust.unreachable_servers:
+            if key in self.health.unreachable_servers:
                 self.log.write(Event.SERVER_REACHABLE, server=server.server_id)
-            self.trust.reachable(key)
+            self.health.record_reachable(key)
             return
 
     def _server(self, key):
--- a/src/cassiaford/gateway/_registration.py
+++ b/src/cassiaford/gateway/_registration.py
@@ -13,12 +13,12 @@
 )
 from cassiaford.gateway.policy import PeerState
 
-# Peers that are gone are forgotten after this time; reports between instances
-# notice it sooner. A renewal each third of it outlives two lost ones.
+# Time until the entry of a lost instance is removed; the reports between
+# instances detect the loss sooner. The lease survives two lost renewals.
 LEASE_S = 6.0
-RENEW_S = 2.0
-# Tells its calls to the store apart from others.
-CALLER = "registration"
+RENEWAL_INTERVAL_S = 2.0
+# Identifies these calls in the tracking of the store's reachability.
+STORE_CLIENT = "registration"
 
 
 def encode_entry(state: PeerState) -> bytes:
@@ -45,11 +45,11 @@
             peer_address=str(document["peer_address"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise ValueError(f"not the entry of an instance: {error!r}") from error
+        raise ValueError(f"invalid entry of an instance: {error!r}") from error
 
 
 class Registration:
-    """Keeps the entry of this instance in the store."""
+    """Maintains the entry of this instance in the store."""
 
     def __init__(
         self,
@@ -68,32 +68,32 @@
         self.registered = False
 
     async def run(self) -> None:
-        """Register, and renew the lease until cancelled."""
+        """Register the instance, and renew its lease until cancelled."""
         while True:
             try:
                 if self.registered:
                     await self.store.renew_lease(self.lease)
                 else:
                     await self._register()
-                self.sync.answered(CALLER)
+                self.sync.record_success(STORE_CLIENT)
             except LeaseEndedError:
                 self.registered = False
                 continue
             except StoreError as error:
-                # An entry that lapsed is written again with the next turn.
-                self.sync.failed(CALLER, error)
-            await asyncio.sleep(RENEW_S * (0.8 + 0.4 * self.rng.random()))
+                # An entry that has lapsed is written again in the next round.
+                self.sync.record_failure(STORE_CLIENT, error)
+            await asyncio.sleep(RENEWAL_INTERVAL_S * (0.8 + 0.4 * self.rng.random()))
 
     async def withdraw(self) -> None:
-        """Remove the entry, so that peers name this instance no more."""
+        """Remove the entry, so that peers no longer list this instance."""
         if not self.registered:
             return
         self.registered = False
         try:
             await self.store.end_lease(self.lease)
         except StoreError as error:
-            # The lease runs out by itself.
-            self.sync.failed(CALLER, error)
+            # The lease expires by itself.
+            self.sync.record_failure(STORE_CLIENT, error)
 
     async def _register(self):
         self.lease = await self.store.grant_lease(LEASE_S)
--- a/src/cassiaford/gateway/_settings.py
+++ b/src/cassiaford/gateway/_settings.py
@@ -1,16 +1,16 @@
-"""The settings of one gateway, in the product's own terms."""
+"""The settings of one gateway, independent of the platform."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class GatewayAddresses:
-    """Where a gateway listens, as ``host:port``.
+    """The addresses on which a gateway listens, as ``host:port``.
 
     `front` serves callers, `readiness` the platform's probe, `directory`
-    callers that ask where to connect, `metrics` the collector of metrics, and
-    `peer` other instances, over UDP for reports and over TCP for copies of the
-    store.
+    callers that ask where to connect, and `metrics` the metrics collector.
+    `peer` serves other instances, over UDP for reports and over TCP for copies
+    of the store.
     """
 
     front: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """How often the fleet may resend; see `SendBudget`."""
+    """The limits on the fleet's retries; see `RetryBudget`."""
 
     ratio: float
     slack: float
@@ -31,12 +31,13 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """What a gateway is started with.
+    """The settings that a gateway is started with.
 
-    `rate_window_s` is the window in which a customer may spend its burst beside
-    its rate, `weights_within_s` the time in which named weights are to be in
-    place everywhere, `drain_s` the time from a planned stop to the end of the
-    process, `directory_ttl_s` how long callers may keep a directory's answer.
+    `rate_window_s` is the window in which a customer may spend its burst in
+    addition to its rate. `weights_within_s` is the time within which every
+    engine must have newly named weights. `drain_s` is the time from a planned
+    stop to the end of the process. `directory_ttl_s` is how long callers may
+    cache a response of the directory.
     """
 
     instance: str
--- a/src/cassiaford/gateway/_store.py
+++ b/src/cassiaford/gateway/_store.py
@@ -13,7 +13,7 @@
 
 
 class HistoryLostError(StoreError):
-    """The changes after a revision are no longer to be had."""
+    """The store no longer has the changes after a revision."""
 
 
 class LeaseEndedError(StoreError):
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Page:
-    """Items below a prefix, and the store's revision at that moment."""
+    """All items below a prefix, as of a revision of the store."""
 
     items: tuple[Item, ...]
     revision: int
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What changed after a revision, up to another one."""
+    """The changes after one revision, up to and including `revision`."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """Holds if a key still has a revision; 0 stands for an absent key."""
+    """Requires that a key still has a revision; 0 stands for an absent key."""
 
     key: str
     revision: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Write:
-    """A value for a key, removed with its lease if it has one."""
+    """A value for a key; with a lease, it is removed when the lease ends."""
 
     key: str
     value: bytes = field(repr=False)
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """A transaction that took effect at a revision."""
+    """The result of a transaction that took effect at a revision."""
 
     revision: int
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """A transaction whose conditions did not hold; the items as they are."""
+    """The current items, if the conditions of a transaction did not hold."""
 
     items: tuple[Item, ...]
 
@@ -88,8 +88,8 @@
 class SharedStore(ABC):
     """The store that outlives every instance.
 
-    Every method is one call. It raises `StoreRefusedError` if nothing took
-    effect and another `StoreError` if that is not known.
+    Each method is one call. It raises `StoreRefusedError` if nothing took
+    effect, and another `StoreError` if it may have taken effect.
     """
 
     @abstractmethod
@@ -98,24 +98,25 @@
 
     @abstractmethod
     async def watch(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Return the changes after a revision, as soon as there is one.
+        """Wait for changes after a revision and return them.
 
-        Raises `HistoryLostError` if they are no longer to be had.
+        Returns without changes after `wait_s`. Raises `HistoryLostError` if the
+        store no longer has the changes after the revision.
         """
 
     @abstractmethod
     async def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
     ) -> Committed | Conflict:
-        """Write values if all conditions hold."""
+        """Write all values if all conditions hold."""
 
     @abstractmethod
     async def remove(self, key: str, revision: int) -> Committed | Conflict:
         """Remove a key if it still has a revision."""
 
     @abstractmethod
-    async def grant_lease(self, time_to_live_s: float) -> int:
-        """Return a new lease."""
+    async def grant_lease(self, ttl_s: float) -> int:
+        """Create a lease and return its identifier."""
 
     @abstractmethod
     async def renew_lease(self, lease: int) -> None:
@@ -123,4 +124,4 @@
 
     @abstractmethod
     async def end_lease(self, lease: int) -> None:
-        """End a lease and remove what was written under it."""
+        """End a lease and remove the values written under it."""
--- a/src/cassiaford/gateway/_tasks.py
+++ b/src/cassiaford/gateway/_tasks.py
@@ -1,4 +1,4 @@
-"""Running the parts of a gateway that go on beside requests."""
+"""Background tasks of a gateway that are restarted after a failure."""
 
 import asyncio
 import traceback
@@ -7,18 +7,17 @@
 from cassiaford.gateway._event_log import EventLog
 from cassiaford.logs import Event
 
-# A part that failed is started again after this time.
-RESTART_AFTER_S = 0.2
-# Characters of a traceback that go into the log.
-MOST_CAUSE = 2000
+RESTART_DELAY_S = 0.2
+# Only the end of a longer traceback is logged.
+MAX_CAUSE_CHARACTERS = 2000
 
 
-async def run_with_restarts(part: Callable[[], Awaitable[None]], log: EventLog) -> None:
-    """Run a part; one that fails is logged and started again."""
+async def run_with_restarts(task: Callable[[], Awaitable[None]], log: EventLog) -> None:
+    """Run a task; log a failure and start the task again."""
     while True:
         try:
-            await part()
+            await task()
         except Exception as error:
             cause = "".join(traceback.format_exception(error))
-            log.write(Event.BACKGROUND_TASK_FAILED, cause=cause[-MOST_CAUSE:])
-        await asyncio.sleep(RESTART_AFTER_S)
+            log.write(Event.BACKGROUND_TASK_FAILED, cause=cause[-MAX_CAUSE_CHARACTERS:])
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/src/cassiaford/gateway/_view.py
+++ b/src/cassiaford/gateway/_view.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of its surroundings, decoded and indexed."""
+"""The gateway's view of the store: configuration, backend servers, versions."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,20 +16,20 @@
 
 
 def digest(text: str) -> int:
-    """Return the number under which instances speak of a name."""
+    """Return the number that stands for a name between instances."""
     return xxhash.xxh32_intdigest(text.encode())
 
 
 def server_key(server: BackendServer) -> int:
-    """Return the number under which instances speak of an incarnation."""
+    """Return the number that stands for an incarnation between instances."""
     return digest("|".join(map(str, server.incarnation)))
 
 
 class View(MirrorListener):
-    """The configuration in force, the backend servers, and named versions."""
+    """The configuration in force, the backend servers, and the named versions."""
 
-    def __init__(self, records: RecordDecoder, rates: FleetRates, log: EventLog):
-        self.records = records
+    def __init__(self, decoder: RecordDecoder, rates: FleetRates, log: EventLog):
+        self.decoder = decoder
         self.rates = rates
         self.log = log
         self.configuration: Configuration | None = None
@@ -44,28 +44,28 @@
         self.on_configuration_changed: Callable[[], None] = lambda: None
         self.now = asyncio.get_running_loop().time
 
-    def changed(self, change: Change) -> None:
-        """Take in a change of the store; what cannot be read is passed over."""
+    def on_change(self, change: Change) -> None:
+        """Apply a change of the store; log a value that cannot be decoded."""
         try:
-            self._take_in(change)
+            self._apply(change)
         except MalformedError as error:
             self.log.write(Event.REVISION_REJECTED, key=change.key, cause=str(error))
 
-    def store_lost(self) -> None:
-        """Keep entries that lapse from now on, until the store is back."""
-        self.registry.store_lost()
+    def on_store_lost(self) -> None:
+        """Keep servers whose entries lapse until the store has recovered."""
+        self.registry.record_store_loss()
 
-    def store_returned(self) -> None:
-        """Wait for entries that lapsed during an outage."""
-        self.registry.store_returned(self.now())
+    def on_store_recovered(self) -> None:
+        """Wait for the entries that lapsed during an outage."""
+        self.registry.record_store_recovery(self.now())
 
     def expire(self) -> None:
-        """Drop servers whose entries did not come back."""
+        """Remove the servers that did not register again after an outage."""
         if self.registry.expire(self.now()):
             self._index_servers()
 
     def record_replacement(self, server: BackendServer) -> None:
-        """Take in that another server answers at a server's address."""
+        """Record that another server responds at a server's address."""
         key = server_key(server)
         if key not in self.replaced_keys:
             self.replaced_keys.add(key)
@@ -81,22 +81,22 @@
             if model in server.versions
         }
 
-    def _take_in(self, change):
-        records = self.records
-        if change.key == records.configuration_key:
+    def _apply(self, change):
+        decoder = self.decoder
+        if change.key == decoder.configuration_key:
             if change.item is not None:
-                self._configure(records.configuration(change.item.value))
-        elif change.key.startswith(records.versions_prefix):
+                self._configure(decoder.configuration(change.item.value))
+        elif change.key.startswith(decoder.versions_prefix):
             if change.item is not None:
-                self._name_version(*records.named_version(change.item.value))
-        elif change.key.startswith(records.servers_prefix):
-            self._server_changed(change)
+                self._add_version(*decoder.named_version(change.item.value))
+        elif change.key.startswith(decoder.servers_prefix):
+            self._apply_server(change)
         else:
             self.on_own_key_changed(change)
 
     def _configure(self, configuration):
-        known = self.configuration
-        if known is not None and configuration.version <= known.version:
+        previous = self.configuration
+        if previous is not None and configuration.version <= previous.version:
             return
         self.configuration = configuration
         self.routes = RouteTable(configuration.routes)
@@ -106,7 +106,7 @@
             if customer.rate > 0
         }
         self.rates.configure(limits, self.now())
-        self.log.configuration = configuration.version
+        self.log.configuration_version = configuration.version
         self.log.write(
             Event.REVISION_IN_FORCE,
             routes=len(configuration.routes),
@@ -114,32 +114,32 @@
         )
         self.on_configuration_changed()
 
-    def _name_version(self, model, version):
-        if self.named_versions.name(model, version, self.now()):
+    def _add_version(self, model, version):
+        if self.named_versions.add(model, version, self.now()):
             self.log.write(Event.VERSION_NAMED, model=model, version=version)
 
-    def _server_changed(self, change):
+    def _apply_server(self, change):
         if change.item is None:
             self.registry.remove(change.key, self.now())
             if change.key not in self.registry.servers:
                 self.log.write(Event.SERVER_LEFT, entry=change.key)
         else:
             try:
-                server = self.records.server(change.key, change.item.value)
+                server = self.decoder.server(change.key, change.item.value)
             except MalformedError:
-                # What stood there before is not to be used any more.
+                # The server of the former value must no longer be used.
                 self.registry.remove(change.key, self.now())
                 self._index_servers()
                 raise
-            known = self.registry.servers.get(change.key)
+            previous = self.registry.servers.get(change.key)
             self.registry.put(change.key, server)
-            if known == server:
+            if previous == server:
                 return
-            if known is not None and known.versions != server.versions:
+            if previous is not None and previous.versions != server.versions:
                 self.on_versions_changed(server_key(server))
                 self._log_loaded(server)
             else:
-                self._log_server(known, server)
+                self._log_server(previous, server)
         self._index_servers()
 
     def _log_loaded(self, server):
@@ -149,9 +149,9 @@
             versions=str(server.versions),
         )
 
-    def _log_server(self, known, server):
+    def _log_server(self, previous, server):
         self.log.write(
-            Event.SERVER_CHANGED if known else Event.SERVER_JOINED,
+            Event.SERVER_CHANGED if previous else Event.SERVER_JOINED,
             server=server.server_id,
             service=server.service,
             draining=server.draining,
@@ -160,26 +160,26 @@
 
     def _index_servers(self):
         servers = {}
-        known = set()
+        keys = set()
         for server in _newest_by_address(self.registry.servers.values()):
             key = server_key(server)
-            known.add(key)
+            keys.add(key)
             if not server.draining and key not in self.replaced_keys:
                 servers.setdefault(server.service, {})[key] = server
-        self.replaced_keys &= known
+        self.replaced_keys &= keys
         self.servers = servers
         self.on_servers_changed()
 
 
 def _newest_by_address(servers):
-    """Return the servers without those whose address another one has now.
+    """Return the servers without those whose address another one has taken.
 
     The entry of a server that crashed stays for seconds after its successor
     has registered.
     """
     newest = {}
     for server in servers:
-        known = newest.get(server.address)
-        if known is None or server.started_at >= known.started_at:
+        previous = newest.get(server.address)
+        if previous is None or server.started_at >= previous.started_at:
             newest[server.address] = server
     return newest.values()
--- a/src/cassiaford/gateway/peers.capnp
+++ b/src/cassiaford/gateway/peers.capnp
@@ -1,16 +1,16 @@
 @0xe1b0a4c2d7f35a91;
 
-# What instances tell each other. A report travels as one datagram, packed; it
-# may be lost, doubled or reordered. Fields are only ever added.
+# Messages between instances. A report is sent as one packed datagram, which may
+# be lost, duplicated or reordered. Fields are only ever added.
 
 struct Work {
   server @0 :UInt32;        # digest of the backend server's incarnation
   retired1 @1 :UInt32;
   running @2 :UInt16;
-  tokens @3 :UInt32;        # of the requests running
+  tokens @3 :UInt32;        # of the running requests
   retired4 @4 :Int16;
-  unstarted @5 :UInt16;     # of those running, still without a first token
-  readTokens @6 :UInt64;    # to be read, placed there since the sender's start
+  unstarted @5 :UInt16;     # running requests without a first token
+  readTokens @6 :UInt64;    # prefill tokens placed since the sender's start
 }
 
 struct Spending {
@@ -19,15 +19,15 @@
 }
 
 struct UnitPlacement {
-  unit @0 :UInt32;          # digest of a prefix that prompts share
+  unit @0 :UInt32;          # digest of a placement prefix
   server @1 :UInt32;
 }
 
-# A report that is not whole names its sender by digest and says only what has
-# changed; the texts stand in whole reports.
+# A report that is not whole identifies its sender by digest and contains only
+# what has changed; only whole reports contain the texts.
 struct Report {
   name @0 :Text;
-  incarnation @1 :UInt64;   # milliseconds of the sender's start
+  incarnation @1 :UInt64;   # time of the sender's start in milliseconds
   dataCentre @2 :Text;
   frontAddress @3 :Text;
   peerAddress @4 :Text;
@@ -41,10 +41,10 @@
   sequence @12 :UInt32;
   unreachable @13 :List(UInt32);
   sender @14 :UInt32;       # digest of the sender's name
-  readSpeed @15 :UInt32;    # prompt tokens a second, as the sender has learned
+  readSpeed @15 :UInt32;    # the sender's estimate, in prefill tokens a second
 }
 
-# An instance's copy of a part of the store, for a peer that the store rejects.
+# An instance's copy of a part of the store, for a peer that cannot reach it.
 struct Item {
   key @0 :Text;
   value @1 :Data;
--- a/src/cassiaford/gateway/policy/__init__.py
+++ b/src/cassiaford/gateway/policy/__init__.py
@@ -1,9 +1,14 @@
-"""Decisions of the gateway, free of clock, socket and global randomness.
+"""Decisions of the gateway, without a clock, sockets or global randomness.
 
 Times are seconds on a monotonic clock that the caller reads.
 """
 
-from cassiaford.gateway.policy._engine_book import EnginePlacer, EngineView, Placement
+from cassiaford.gateway.policy._decode_times import DecodeTimes
+from cassiaford.gateway.policy._engine_placer import (
+    EnginePlacer,
+    EngineView,
+    Placement,
+)
 from cassiaford.gateway.policy._engine_queue import PlacedWork
 from cassiaford.gateway.policy._fleet_rates import FleetRates, Limit
 from cassiaford.gateway.policy._generation import GenerationRequest, Prefix
@@ -11,19 +16,19 @@
 from cassiaford.gateway.policy._named_versions import NamedVersions
 from cassiaford.gateway.policy._peer_table import PeerState, PeerTable
 from cassiaford.gateway.policy._registry import ServerRegistry
-from cassiaford.gateway.policy._roll_out import GiveOrder, Rollout, RollOutServer
-from cassiaford.gateway.policy._run_times import RunTimes
-from cassiaford.gateway.policy._send_budget import RetryBudget
-from cassiaford.gateway.policy._server_trust import ServerHealth
-from cassiaford.gateway.policy._service_book import PlainServer, ServicePlacer
+from cassiaford.gateway.policy._retry_budget import RetryBudget
+from cassiaford.gateway.policy._rollout import LoadOrder, Rollout, RolloutServer
+from cassiaford.gateway.policy._server_health import ServerHealth
+from cassiaford.gateway.policy._service_placer import PlainServer, ServicePlacer
 
 __all__ = [
+    "DecodeTimes",
     "EnginePlacer",
     "EngineView",
     "FleetRates",
     "GenerationRequest",
-    "GiveOrder",
     "Limit",
+    "LoadOrder",
     "NamedVersions",
     "PeerState",
     "PeerTable",
@@ -31,12 +36,11 @@
     "Placement",
     "PlainServer",
     "Prefix",
-    "Rollout",
-    "RollOutServer",
-    "RunTimes",
     "RetryBudget",
-    "ServerRegistry",
+    "Rollout",
+    "RolloutServer",
     "ServerHealth",
+    "ServerRegistry",
     "ServicePlacer",
     "WaitingPrompts",
     "should_wait",
--- a/src/cassiaford/gateway/policy/_generation.py
+++ b/src/cassiaford/gateway/policy/_generation.py
@@ -1,9 +1,9 @@
-"""A request for tokens, as placement sees it."""
+"""A generation request with the data that placement needs."""
 
 from dataclasses import dataclass
 
-# A unit holds at least this share of what its prompts share.
-UNIT_SHARE = 0.5
+# A placement prefix covers at least this fraction of the shared tokens.
+MIN_PLACEMENT_FRACTION = 0.5
 
 
 @dataclass(frozen=True)
@@ -16,29 +16,29 @@
 
 @dataclass(frozen=True)
 class GenerationRequest:
-    """A request as placement sees it.
+    """A request for tokens with the data that placement needs.
 
-    `levels` are its shared prefixes, from the shortest to the longest, within
-    the customers and weights that share them. The answer should begin within
-    `target_s`.
+    `shared_prefixes` are ordered from the shortest to the longest; their keys
+    tell apart the customers and models that do not share. The first token
+    should come within `target_s`.
     """
 
     request_id: str
-    levels: tuple[Prefix, ...]
+    shared_prefixes: tuple[Prefix, ...]
     prompt_tokens: int
     output_tokens: int
     target_s: float = 0.0
 
     @property
     def shared_tokens(self) -> int:
-        """The length of the longest prefix that it shares."""
-        return self.levels[-1].tokens if self.levels else 0
+        """The length of the longest shared prefix."""
+        return self.shared_prefixes[-1].tokens if self.shared_prefixes else 0
 
     @property
-    def unit(self) -> bytes:
-        """The prefix by which it is placed."""
-        enough = self.shared_tokens * UNIT_SHARE
-        for level in self.levels:
-            if level.tokens >= enough:
-                return level.key
+    def placement_prefix(self) -> bytes:
+        """The key of the prefix by which the request is placed."""
+        min_tokens = self.shared_tokens * MIN_PLACEMENT_FRACTION
+        for prefix in self.shared_prefixes:
+            if prefix.tokens >= min_tokens:
+                return prefix.key
         return self.request_id.encode()
--- a/src/cassiaford/gateway/policy/_peer_table.py
+++ b/src/cassiaford/gateway/policy/_peer_table.py
@@ -1,17 +1,18 @@
-"""Which other instances are live, from the store and from their reports."""
+"""The other instances that are live, from the store and from their reports."""
 
 from dataclasses import dataclass
 
-# Reports come several times a second; after this long without one a peer is
-# named to callers no more.
-LIVE_FOR_S = 1.2
-# A peer that is no longer registered may still be there while the store is not.
-UNREGISTERED_FOR_S = 20.0
+# Reports come several times a second. After this long without one a peer is no
+# longer listed in the directory for callers.
+LIVENESS_TIMEOUT_S = 1.2
+# A peer whose entry is gone from the store may still run, since entries also
+# lapse while the store fails.
+UNREGISTERED_TTL_S = 20.0
 
 
 @dataclass(frozen=True)
 class PeerState:
-    """What an instance says of itself."""
+    """The state of an instance as it reports it."""
 
     name: str
     incarnation: int
@@ -25,8 +26,8 @@
 class _Peer:
     state: PeerState
     registered: bool
-    heard_at: float | None = None
-    seen_at: float = 0.0
+    last_report_at: float | None = None
+    last_contact_at: float = 0.0
 
 
 class PeerTable:
@@ -39,7 +40,7 @@
     >>> table.register(peer, now=0.0)
     >>> table.live(0.5), table.expected()
     ([], ['b'])
-    >>> table.hear(peer, now=0.5)
+    >>> table.update_from_peer(peer, now=0.5)
     >>> [state.name for state in table.live(1.0)]
     ['b']
     """
@@ -48,49 +49,50 @@
         self.peers: dict[str, _Peer] = {}
 
     def register(self, state: PeerState, now: float) -> None:
-        """Take in an instance's entry in the store."""
+        """Add an instance that has an entry in the store."""
         peer = self.peers.get(state.name)
         if peer is None or state.incarnation > peer.state.incarnation:
-            self.peers[state.name] = _Peer(state, True, seen_at=now)
+            self.peers[state.name] = _Peer(state, True, last_contact_at=now)
         else:
             peer.registered = True
 
     def unregister(self, name: str) -> None:
-        """Take in that an instance's entry is gone."""
+        """Record that an instance's entry is gone from the store."""
         if name in self.peers:
             self.peers[name].registered = False
 
-    def hear(self, state: PeerState, now: float) -> None:
-        """Take in a report; one of an earlier start is passed over."""
+    def update_from_peer(self, state: PeerState, now: float) -> None:
+        """Apply a peer's report, unless it is of an earlier incarnation."""
         peer = self.peers.get(state.name)
         if peer is None or state.incarnation > peer.state.incarnation:
             registered = peer.registered if peer is not None else False
             self.peers[state.name] = _Peer(state, registered, now, now)
         elif state.incarnation == peer.state.incarnation:
             peer.state = state
-            peer.heard_at = peer.seen_at = now
+            peer.last_report_at = peer.last_contact_at = now
 
     def expire(self, now: float) -> list[str]:
-        """Drop peers that are neither registered nor heard; return their names."""
+        """Remove peers that neither are registered nor report; return their names."""
         gone = [
             name
             for name, peer in self.peers.items()
-            if not peer.registered and now - peer.seen_at > _kept_for(peer)
+            if not peer.registered and now - peer.last_contact_at > _ttl_s(peer)
         ]
         for name in gone:
             del self.peers[name]
         return gone
 
     def live(self, now: float) -> list[PeerState]:
-        """Return the peers that have been heard just now."""
+        """Return the peers with a recent report."""
         return [
             peer.state
             for peer in self.peers.values()
-            if peer.heard_at is not None and now - peer.heard_at <= LIVE_FOR_S
+            if peer.last_report_at is not None
+            and now - peer.last_report_at <= LIVENESS_TIMEOUT_S
         ]
 
     def expected(self) -> list[str]:
-        """Return the names of all that may be running."""
+        """Return the names of all peers that may be running."""
         return list(self.peers)
 
     def all(self) -> list[PeerState]:
@@ -98,5 +100,5 @@
         return [peer.state for peer in self.peers.values()]
 
 
-def _kept_for(peer):
-    return LIVE_FOR_S if peer.heard_at is None else UNREGISTERED_FOR_S
+def _ttl_s(peer):
+    return LIVENESS_TIMEOUT_S if peer.last_report_at is None else UNREGISTERED_TTL_S
--- a/src/cassiaford/gateway/policy/_registry.py
+++ b/src/cassiaford/gateway/policy/_registry.py
@@ -1,21 +1,21 @@
-"""Which registered backend servers count as present."""
+"""The registered backend servers, across outages of the store."""
 
 from cassiaford.gateway._messages import BackendServer
 
-# Entries that lapsed in an outage of the store are back within two seconds of
-# its return, if their servers live; then those still missing are gone.
-RETURN_WITHIN_S = 2.2
+# Live servers whose entries lapsed in an outage register again within two
+# seconds of the store's recovery. Servers still missing after this are gone.
+REREGISTRATION_TIMEOUT_S = 2.2
 
 
 class ServerRegistry:
-    """The backend servers by key, through outages of the store.
+    """The backend servers by key, kept through outages of the store.
 
     Examples
     --------
     >>> registry = ServerRegistry()
     >>> server = BackendServer("a", "s", "10.0.0.1:80", "cluj", 8)
     >>> registry.put("servers/a", server)
-    >>> registry.store_returned(now=5.0)
+    >>> registry.record_store_recovery(now=5.0)
     >>> registry.remove("servers/a", now=5.1)
     >>> len(registry.servers)
     1
@@ -28,43 +28,43 @@
     def __init__(self):
         self.servers: dict[str, BackendServer] = {}
         self.missing_until: dict[str, float] = {}
-        self.settled_at = 0.0
-        self.store_away = False
+        self.reregistration_deadline = 0.0
+        self.store_unreachable = False
 
-    def store_lost(self) -> None:
-        """Take in that the store does not answer; what is missing may lapse."""
-        self.store_away = True
+    def record_store_loss(self) -> None:
+        """Record that the store fails, so that entries may lapse."""
+        self.store_unreachable = True
 
-    def store_returned(self, now: float) -> None:
-        """Expect entries that lapsed during an outage to come back."""
-        self.store_away = False
-        self.settled_at = now + RETURN_WITHIN_S
+    def record_store_recovery(self, now: float) -> None:
+        """Wait for entries that lapsed during an outage to be registered again."""
+        self.store_unreachable = False
+        self.reregistration_deadline = now + REREGISTRATION_TIMEOUT_S
         for key in self.missing_until:
-            self.missing_until[key] = self.settled_at
+            self.missing_until[key] = self.reregistration_deadline
 
     def put(self, key: str, server: BackendServer) -> None:
-        """Take in an entry."""
+        """Add or replace the server of an entry."""
         self.servers[key] = server
         self.missing_until.pop(key, None)
 
     def remove(self, key: str, now: float) -> None:
-        """Take in that an entry is missing."""
+        """Remove the server of a missing entry, after an outage with a delay."""
         if key not in self.servers:
             return
-        if self.store_away or now < self.settled_at:
-            # While the store is away, its return sets the time.
-            self.missing_until[key] = self.settled_at
+        if self.store_unreachable or now < self.reregistration_deadline:
+            # During an outage, the store's recovery sets the time.
+            self.missing_until[key] = self.reregistration_deadline
         else:
             self._drop(key)
 
     def expire(self, now: float) -> bool:
-        """Drop servers that did not come back; return whether any was."""
-        if self.store_away:
+        """Remove servers that did not register again; return whether any did not."""
+        if self.store_unreachable:
             return False
-        lapsed = [key for key, until in self.missing_until.items() if now >= until]
-        for key in lapsed:
+        expired = [key for key, until in self.missing_until.items() if now >= until]
+        for key in expired:
             self._drop(key)
-        return bool(lapsed)
+        return bool(expired)
 
     def _drop(self, key):
         self.servers.pop(key, None)
--- a/src/cassiaford/gateway/policy/_send_budget.py
+++ b/src/cassiaford/gateway/policy/_retry_budget.py
@@ -1,17 +1,17 @@
-"""How often requests may be sent to one more backend server."""
+"""The limit on how often requests are sent to another backend server."""
 
 import collections
 
-# An instance uses this part of its share, since instances see uneven traffic.
-CAUTION = 0.8
+# Fraction of its part that an instance uses, since traffic is uneven.
+SAFETY_FACTOR = 0.8
 
 
 class RetryBudget:
-    """Allows resends as a share of recent requests, for one service.
+    """Limits a service's retries to a fraction of its recent requests.
 
-    The fleet may resend `ratio` times the requests of a window, and `slack`
-    more. An instance takes its own requests' share, and an even part of the
-    slack.
+    The fleet may retry `ratio` times the requests of a window, and `slack`
+    more. An instance takes the part for its own requests, and an even part of
+    the slack.
 
     Examples
     --------
@@ -25,31 +25,31 @@
         self.slack = slack
         self.window_s = window_s
         self.requests: collections.deque[float] = collections.deque()
-        self.resends: collections.deque[float] = collections.deque()
+        self.retries: collections.deque[float] = collections.deque()
 
     def record_request(self, now: float) -> None:
-        """Take note of a request for the service."""
+        """Record a request for the service."""
         self._expire(now)
         self.requests.append(now)
 
-    def left(self, now: float, instances: int) -> float:
-        """Return how many more resends are within the budget."""
+    def remaining(self, now: float, instances: int) -> float:
+        """Return how many more retries are within the budget."""
         self._expire(now)
         earned = self.ratio * len(self.requests) + self.slack / max(1, instances)
-        return CAUTION * earned - len(self.resends)
+        return SAFETY_FACTOR * earned - len(self.retries)
 
     def allows(self, now: float, instances: int) -> bool:
-        """Return whether one more resend is within the budget."""
-        return self.left(now, instances) >= 1
+        """Return whether one more retry is within the budget."""
+        return self.remaining(now, instances) >= 1
 
     def take(self, now: float, instances: int) -> bool:
-        """Take one resend from the budget; return whether there was one."""
+        """Take one retry from the budget; return whether there was one."""
         allowed = self.allows(now, instances)
         if allowed:
-            self.resends.append(now)
+            self.retries.append(now)
         return allowed
 
     def _expire(self, now):
-        for times in (self.requests, self.resends):
+        for times in (self.requests, self.retries):
             while times and times[0] <= now - self.window_s:
                 times.popleft()
--- a/tests/event_replay.py
+++ b/tests/event_replay.py
@@ -1,22 +1,22 @@
-"""Events in virtual time, for tests that replay a load."""
+"""Events in virtual time, for tests with a simulated load."""
 
 import heapq
 import itertools
 
 
 class EventReplay:
-    """Plays events in the order of their times."""
+    """Runs events in the order of their times."""
 
     def __init__(self):
         self.events = []
         self.count = itertools.count()
 
-    def at(self, time, act, *details):
-        """Have a method called with the time and these details."""
-        heapq.heappush(self.events, (time, next(self.count), act, details))
+    def at(self, time, callback, *arguments):
+        """Schedule a call of a method with the time and these arguments."""
+        heapq.heappush(self.events, (time, next(self.count), callback, arguments))
 
     def run(self):
-        """Play until nothing is left to happen."""
+        """Run until no events are left."""
         while self.events:
-            now, _, act, details = heapq.heappop(self.events)
-            act(now, *details)
+            now, _, callback, arguments = heapq.heappop(self.events)
+            callback(now, *arguments)
--- a/tests/test_fleet_rates.py
+++ b/tests/test_fleet_rates.py
@@ -1,4 +1,4 @@
-"""Tests of customers' rates over the fleet, with the loads that press them."""
+"""Tests of customers' rates over the fleet, under loads beyond the rate."""
 
 import random
 import unittest
@@ -21,8 +21,10 @@
                 if peer != name and name not in cut and peer not in cut:
                     other.update_from_peer(name, 1, rates.spent(), now)
 
-    def press(self, fleet, seconds, tokens, per_instance_s, report_s=0.1, cut=()):
-        """Have every instance asked far more than the rate; return what passed."""
+    def charge_repeatedly(
+        self, fleet, seconds, tokens, per_instance_s, report_s=0.1, cut=()
+    ):
+        """Charge far more than the rate on every instance; return what was allowed."""
         spent = []
         step_s = 0.01
         for step in range(round(seconds / step_s)):
@@ -35,43 +37,44 @@
                 self.report(fleet, now, cut)
         return spent
 
-    def most_in_window(self, spent, window_s):
-        most = 0
+    def max_in_window(self, spent, window_s):
+        maximum = 0
         for start, _ in spent[::20]:
             within = sum(t for at, t in spent if start <= at < start + window_s)
-            most = max(most, within)
-        return most
+            maximum = max(maximum, within)
+        return maximum
 
-    def test_a_tenant_that_floods_gets_its_rate_over_all_instances(self):
+    def test_a_customer_far_over_its_rate_gets_its_rate_over_all_instances(self):
         limit = Limit(10_000.0, 20_000.0)
         fleet = self.fleet(6, limit)
-        spent = self.press(fleet, 24.0, 500, 100)
-        most = self.most_in_window(spent, 8.0)
-        # The users' bound on a window: 10 % and a slack over rate and burst.
-        self.assertLessEqual(most, (limit.rate * 8 + limit.burst) * 1.1)
+        spent = self.charge_repeatedly(fleet, 24.0, 500, 100)
+        maximum = self.max_in_window(spent, 8.0)
+        # Users accept 10 % and some slack over the rate and the burst in a window;
+        # this allows only the 10 %.
+        self.assertLessEqual(maximum, (limit.rate * 8 + limit.burst) * 1.1)
         total = sum(tokens for _, tokens in spent)
         self.assertGreaterEqual(total, 0.95 * limit.rate * 24)
 
     def test_a_customer_over_its_rate_gets_its_burst_in_every_window(self):
-        # A lowered quota: the customer goes on asking for a third more than
-        # its rate, which is less than its rate and burst in any window.
+        # The customer requests a third more than its rate, as after its quota
+        # was lowered. This is less than its rate and burst in any window.
         limit = Limit(10_000.0, 60_000.0)
         fleet = self.fleet(6, limit)
-        asked = passed = 0
+        requested = allowed = 0
         spent = []
         for step in range(4000):
             now = step * 0.01
             rates = fleet[f"entry-{step % 6}"]
             if step % 20 == 0:
-                asked += 2650
+                requested += 2650
                 if rates.charge("academy", 2650, now):
-                    passed += 2650
+                    allowed += 2650
                     spent.append((now, 2650))
             if step % 10 == 0:
                 self.report(fleet, now)
-        self.assertGreaterEqual(passed, 0.95 * asked)
+        self.assertGreaterEqual(allowed, 0.95 * requested)
         self.assertLessEqual(
-            self.most_in_window(spent, 8.0), limit.rate * 8 + limit.burst
+            self.max_in_window(spent, 8.0), limit.rate * 8 + limit.burst
         )
 
     def test_a_refund_reaches_the_peers(self):
@@ -79,34 +82,36 @@
         first, second = fleet.values()
         self.report(fleet, 0.0)
         for _ in range(20):
-            # The same request is turned away by every server, again and again.
+            # The same request is rejected by every server, again and again.
             self.assertTrue(first.charge("academy", 1500, 0.0))
             first.refund("academy", 1500, 0.0)
             self.report(fleet, 0.0)
         self.assertTrue(second.charge("academy", 400, 0.0))
 
-    def test_instances_that_cannot_hear_each_other_keep_the_limit_between_them(self):
+    def test_instances_that_cannot_reach_each_other_keep_the_limit_together(self):
         limit = Limit(10_000.0, 20_000.0)
         fleet = self.fleet(6, limit)
-        spent = self.press(fleet, 24.0, 500, 100, cut={"entry-1", "entry-4"})
-        most = self.most_in_window(spent, 8.0)
-        # Until a peer counts as silent, every instance may start with its level.
-        self.assertLessEqual(most, (limit.rate * 8 + limit.burst) * 1.1 + 30_000)
+        spent = self.charge_repeatedly(
+            fleet, 24.0, 500, 100, cut={"entry-1", "entry-4"}
+        )
+        maximum = self.max_in_window(spent, 8.0)
+        # Until a peer counts as silent, each instance may spend its initial level.
+        self.assertLessEqual(maximum, (limit.rate * 8 + limit.burst) * 1.1 + 30_000)
 
-    def test_a_large_request_has_the_chance_of_a_small_one(self):
+    def test_a_large_request_has_the_same_chance_as_a_small_one(self):
         rates = FleetRates()
         rates.configure({"academy": Limit(1000.0, 4000.0)}, 0.0)
-        passed = {100: 0, 2000: 0}
-        asked = {100: 0, 2000: 0}
+        allowed = {100: 0, 2000: 0}
+        requested = {100: 0, 2000: 0}
         rng = random.Random(5)
         for step in range(4000):
             tokens = rng.choice((100, 2000))
-            asked[tokens] += 1
-            passed[tokens] += rates.charge("academy", tokens, step * 0.02)
-        share = {tokens: passed[tokens] / asked[tokens] for tokens in asked}
-        self.assertGreater(share[2000], 0.5 * share[100])
+            requested[tokens] += 1
+            allowed[tokens] += rates.charge("academy", tokens, step * 0.02)
+        fraction = {tokens: allowed[tokens] / requested[tokens] for tokens in requested}
+        self.assertGreater(fraction[2000], 0.5 * fraction[100])
 
-    def test_bookings_pass_while_a_customer_is_over_its_rate(self):
+    def test_small_requests_pass_while_a_customer_is_over_its_rate(self):
         rates = FleetRates()
         rates.configure({"academy": Limit(10_000.0, 30_000.0)}, 0.0)
         refused = 0
@@ -116,22 +121,22 @@
             refused += step % 10 == 0 and not rates.charge("academy", 200, now)
         self.assertLessEqual(refused, 0.02 * 300)
 
-    def test_refused_requests_are_told_to_return_one_after_the_other(self):
+    def test_refused_requests_get_increasing_retry_times(self):
         rates = FleetRates()
         rates.configure({"academy": Limit(1000.0, 4000.0)}, 0.0)
         while rates.charge("academy", 500, 0.0):
             pass
-        returns = [rates.retry_after_s("academy", 500, 0.0) for _ in range(4)]
-        self.assertEqual(returns, sorted(returns))
-        self.assertGreater(returns[3] - returns[0], 1.0)
+        retry_times = [rates.retry_after_s("academy", 500, 0.0) for _ in range(4)]
+        self.assertEqual(retry_times, sorted(retry_times))
+        self.assertGreater(retry_times[3] - retry_times[0], 1.0)
 
-    def test_a_fleet_that_restarts_gives_out_no_second_burst(self):
+    def test_a_fleet_that_restarts_grants_no_second_burst(self):
         limit = Limit(1000.0, 100_000.0)
         fleet = self.fleet(6, limit)
-        spent = self.press(fleet, 0.1, 1000, 10_000, report_s=0.05)
+        spent = self.charge_repeatedly(fleet, 0.1, 1000, 10_000, report_s=0.05)
         self.assertLess(sum(tokens for _, tokens in spent), 2 * limit.burst)
 
-    def test_a_late_report_of_an_earlier_time_changes_nothing(self):
+    def test_a_delayed_earlier_report_changes_nothing(self):
         rates = FleetRates()
         rates.configure({"academy": Limit(0.001, 4000.0)}, 0.0)
         rates.set_members(["b"], 0.0)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of engines by what the gateway believes of them."""
+"""Tests of the choice of engines while new weights are loaded."""
 
 import random
 import types
@@ -34,8 +34,8 @@
 DIGEST = route("digest", 0.8)
 
 
-def facts(number, own_tokens, output_tokens):
-    """Return a prompt with a short shared part."""
+def request_metadata(number, own_tokens, output_tokens):
+    """Return the metadata of a prompt with a short shared part."""
     parts = (PromptPart("binder", 500), PromptPart(f"own-{number}", own_tokens))
     return RequestMetadata(
         f"r{number}",
@@ -48,12 +48,12 @@
 
 
 class PlacerTest(unittest.TestCase):
-    """Two engines; the first has the weights that were named a second ago."""
+    """Two engines, of which the first has the newest weights."""
 
     def setUp(self):
         named = NamedVersions()
-        named.name("m", 1, 0.0)
-        named.name("m", 2, 9.0)
+        named.add("m", 1, 0.0)
+        named.add("m", 2, 9.0)
         servers = {
             key: BackendServer(f"e{key}", "engine", f"h:{key}", "a", 64, versions=held)
             for key, held in ((1, {"m": 2}), (2, {"m": 1}))
@@ -74,28 +74,30 @@
             rng=random.Random(1),
         )
 
-    def place(self, request, asked, now):
-        """Place and send a request; return the engine's key."""
-        choice = self.placer.choose("engine", request, None, set(), asked, now)
+    def place(self, request, requested_route, now):
+        """Place and start a request; return the engine's key."""
+        choice = self.placer.choose(
+            "engine", request, None, set(), requested_route, now
+        )
         self.placer.record_start(choice, request, None, now)
         return choice.key
 
     def test_new_weights_are_preferred_on_idle_engines(self):
-        self.assertEqual(self.place(facts(1, 1500, 90), TAG, 10.0), 1)
+        self.assertEqual(self.place(request_metadata(1, 1500, 90), TAG, 10.0), 1)
 
-    def test_a_short_answer_does_not_wait_behind_a_long_prompt_for_new_weights(self):
-        # Tags may state ninety tokens, and get four. Those that have just
-        # ended tell that one hardly keeps an engine from loading weights.
+    def test_a_short_response_does_not_wait_behind_a_long_prompt_for_new_weights(self):
+        # Tag requests state ninety output tokens and get four. The ones that
+        # have ended show that another hardly delays an engine's load.
         for number in range(20):
             self.placer.record_response(TAG, 9.0 + number / 100, 9.04 + number / 100)
-        self.assertEqual(self.place(facts(1, 32_000, 900), DIGEST, 10.0), 1)
-        self.assertEqual(self.place(facts(2, 1500, 90), TAG, 10.01), 2)
+        self.assertEqual(self.place(request_metadata(1, 32_000, 900), DIGEST, 10.0), 1)
+        self.assertEqual(self.place(request_metadata(2, 1500, 90), TAG, 10.01), 2)
 
-    def test_a_long_answer_is_not_begun_where_weights_are_to_be_loaded(self):
+    def test_a_long_response_is_not_started_where_weights_are_about_to_load(self):
         for number in range(20):
             self.placer.record_response(DIGEST, 8.0 + number / 100, 9.2 + number / 100)
-        self.assertEqual(self.place(facts(1, 12_000, 900), DIGEST, 10.0), 1)
-        self.assertEqual(self.place(facts(2, 6000, 900), DIGEST, 10.01), 1)
+        self.assertEqual(self.place(request_metadata(1, 12_000, 900), DIGEST, 10.0), 1)
+        self.assertEqual(self.place(request_metadata(2, 6000, 900), DIGEST, 10.01), 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -246,7 +246,7 @@
         await self.until(lambda: "cassiaford/orderer" not in self.store.items)
         await self.store.put(f"op/version/{MODEL}", {"Model": MODEL, "Version": 3})
         await self.until(lambda: len(worker.orders) == 2)
-        self.assertTrue(second.orderer.holds)
+        self.assertTrue(second.orderer.holds_lease)
         tokens = [order["FencingToken"] for order in worker.orders]
         self.assertLess(tokens[0], tokens[1])
 
--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -68,7 +68,7 @@
 
     async def test_a_refusal_tells_when_the_best_server_would_begin(self):
         gateway = await self.start("engine")
-        engine = gateway.engines._engine(next(iter(gateway.view.servers["engine"])))
+        engine = gateway.engines._queue(next(iter(gateway.view.servers["engine"])))
         engine.busy_until = gateway.loop.time() + 60.0
         await self.ask(gateway, "/mark/1")
         line = self.line(Event.REQUEST_REFUSED)
--- a/tests/test_platform_waiting.py
+++ b/tests/test_platform_waiting.py
@@ -34,7 +34,7 @@
         self.worker = await self.start_worker("i-0", "engine")
         gateway = await self.start_gateway()
         key = next(iter(gateway.view.servers["engine"]))
-        self.engine = gateway.engines._engine(key)
+        self.engine = gateway.engines._queue(key)
         self.engine.busy_until = gateway.loop.time() + BEHIND_S
         self.lines = []
         gateway.log.write = lambda event, **details: self.lines.append((event, details))
@@ -44,7 +44,7 @@
     def fall_behind(self, gateway):
         """Have every engine be behind."""
         for key in gateway.view.servers["engine"]:
-            engine = gateway.engines._engine(key)
+            engine = gateway.engines._queue(key)
             engine.busy_until = gateway.loop.time() + BEHIND_S
 
     async def test_a_late_request_is_sent_once_the_engine_has_caught_up(self):
