--- a/src/cassiaford/config/__init__.py
+++ b/src/cassiaford/config/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: its document, its changes, its day sheet."""
+"""The operators' configuration: its schema, its changes and the day sheet."""
 
 from cassiaford.config._changes import (
     Change,
--- a/src/cassiaford/config/_changes.py
+++ b/src/cassiaford/config/_changes.py
@@ -1,4 +1,4 @@
-"""Changes to the configuration and the log entries that carry them."""
+"""Changes to the configuration and the log entries that contain them."""
 
 from dataclasses import replace
 from typing import Annotated, Literal
@@ -19,12 +19,12 @@
 
 
 class ChangeError(ValueError):
-    """A change that does not fit the configuration it is applied to."""
+    """A change that cannot be applied to the configuration."""
 
 
 @dataclass(frozen=True, config=STRICT)
 class PutCustomer:
-    """Creates a customer or replaces it."""
+    """A change that creates or replaces a customer."""
 
     value: Customer
     kind: Literal["put_customer"] = "put_customer"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class RemoveCustomer:
-    """Removes a customer together with its keys."""
+    """A change that removes a customer together with its keys."""
 
     name: Name
     kind: Literal["remove_customer"] = "remove_customer"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class PutKey:
-    """Grants a key."""
+    """A change that grants a key."""
 
     value: Key
     kind: Literal["put_key"] = "put_key"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class RemoveKey:
-    """Withdraws a key."""
+    """A change that withdraws a key."""
 
     key_id: Name
     kind: Literal["remove_key"] = "remove_key"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class PutModel:
-    """Creates a model or replaces it, its weights version among the rest."""
+    """A change that creates or replaces a model, including its weights version."""
 
     value: Model
     kind: Literal["put_model"] = "put_model"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class RemoveModel:
-    """Removes a model."""
+    """A change that removes a model."""
 
     name: Name
     kind: Literal["remove_model"] = "remove_model"
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class PutServer:
-    """Joins a backend server, or replaces what is known of it."""
+    """A change that adds or replaces a backend server."""
 
     value: BackendServer
     kind: Literal["put_server"] = "put_server"
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class RemoveServer:
-    """Forgets a backend server."""
+    """A change that removes a backend server."""
 
     name: Name
     kind: Literal["remove_server"] = "remove_server"
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class PutRoute:
-    """Creates a route or replaces it."""
+    """A change that creates or replaces a route."""
 
     value: Route
     kind: Literal["put_route"] = "put_route"
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class RemoveRoute:
-    """Removes a route."""
+    """A change that removes a route."""
 
     prefix: str
     kind: Literal["remove_route"] = "remove_route"
@@ -121,8 +121,8 @@
 class Revision:
     """One entry of the configuration log.
 
-    Revision `number` is created at most once, by compare-and-swap. `nonce`
-    lets its author recognise it when the answer to the write was lost.
+    Revision `number` is created at most once, by compare-and-swap. By `nonce`
+    its author recognises it if the response to the write was lost.
     `written_at` is the author's wall-clock time in seconds since the epoch.
     """
 
@@ -141,7 +141,8 @@
     """
     if revision.number != configuration.revision + 1:
         raise ChangeError(
-            f"revision {revision.number} does not follow {configuration.revision}"
+            f"revision {revision.number} does not follow revision"
+            f" {configuration.revision}"
         )
     draft = _Draft(configuration)
     for change in revision.changes:
@@ -150,7 +151,7 @@
 
 
 class _Draft:
-    """A configuration under change."""
+    """A mutable copy of a configuration."""
 
     def __init__(self, configuration):
         self.base = configuration
@@ -206,6 +207,6 @@
         }
 
 
-def _remove(mapping, name, what):
+def _remove(mapping, name, kind):
     if mapping.pop(name, None) is None:
-        raise ChangeError(f"no {what} named {name!r}")
+        raise ChangeError(f"no {kind} named {name!r}")
--- a/src/cassiaford/config/_describe.py
+++ b/src/cassiaford/config/_describe.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration in words, for plans and for lost races."""
+"""Descriptions of configuration changes, for plans and write conflicts."""
 
 from dataclasses import fields
 
@@ -17,7 +17,7 @@
 )
 from cassiaford.config._document import EMPTY_CONFIGURATION, Configuration
 
-# Fields that say nothing to a reader, or that need not be shown.
+# Names, which the line contains anyway, and what is derived from secrets.
 _HIDDEN_FIELDS = {"name", "prefix", "salt", "digest", "key_id"}
 
 
@@ -31,15 +31,15 @@
     """
     match change:
         case PutCustomer(value=value):
-            return _put("customer", value.name, value, base.customers)
+            return _describe_put("customer", value.name, value, base.customers)
         case PutKey(value=value):
-            return _put("key", value.key_id, value, base.keys)
+            return _describe_put("key", value.key_id, value, base.keys)
         case PutModel(value=value):
-            return _put("model", value.name, value, base.models)
+            return _describe_put("model", value.name, value, base.models)
         case PutServer(value=value):
-            return _put("server", value.name, value, base.servers)
+            return _describe_put("server", value.name, value, base.servers)
         case PutRoute(value=value):
-            return _put("route", value.prefix, value, base.routes)
+            return _describe_put("route", value.prefix, value, base.routes)
         case RemoveCustomer(name=name):
             return f"- customer {name}{_withdrawn_keys(name, base)}"
         case RemoveKey(key_id=key_id):
@@ -52,20 +52,20 @@
             return f"- route {prefix}"
 
 
-def _put(what, name, value, present):
+def _describe_put(kind, name, value, present):
     before = present.get(name)
     if before is None:
-        return f"+ {what} {name}: {_shown_fields(value)}"
+        return f"+ {kind} {name}: {_format_fields(value)}"
     differences = [
-        f"{name_} {_shown(getattr(before, name_))} -> {_shown(getattr(value, name_))}"
-        for name_ in _field_names(value)
-        if getattr(before, name_) != getattr(value, name_)
+        f"{field} {_format(getattr(before, field))} -> {_format(getattr(value, field))}"
+        for field in _field_names(value)
+        if getattr(before, field) != getattr(value, field)
     ]
-    return f"~ {what} {name}: {', '.join(differences)}"
+    return f"~ {kind} {name}: {', '.join(differences)}"
 
 
-def _shown_fields(value):
-    pairs = [f"{name} {_shown(getattr(value, name))}" for name in _field_names(value)]
+def _format_fields(value):
+    pairs = [f"{name} {_format(getattr(value, name))}" for name in _field_names(value)]
     return ", ".join(pairs)
 
 
@@ -73,7 +73,7 @@
     return [f.name for f in fields(value) if f.name not in _HIDDEN_FIELDS]
 
 
-def _shown(value):
+def _format(value):
     if isinstance(value, tuple):
         return "[" + " ".join(value) + "]"
     if isinstance(value, float):
--- a/src/cassiaford/config/_document.py
+++ b/src/cassiaford/config/_document.py
@@ -1,4 +1,4 @@
-"""The configuration in force: customers, keys, models, servers, routes."""
+"""The schema of the configuration: customers, keys, models, servers, routes."""
 
 import enum
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 from pydantic import ConfigDict, Field, model_validator
 from pydantic.dataclasses import dataclass
 
-# Unknown fields are errors: a misspelt rate must not fall back to a default.
+# Unknown fields are errors, so that a misspelt field is not replaced by a default.
 STRICT = ConfigDict(extra="forbid")
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
@@ -17,14 +17,14 @@
 
 
 class ServerKind(enum.Enum):
-    """What a backend server is."""
+    """The kind of a backend server."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class ServerState(enum.Enum):
-    """Whether a backend server takes new work."""
+    """Whether a backend server gets new requests."""
 
     JOINED = "joined"
     LEAVING = "leaving"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class Customer:
-    """A customer with its limits over the whole fleet.
+    """A customer and its limits over the whole fleet.
 
     `rate` is in tokens a second and `burst` in tokens; both count prompt and
     output tokens. `models` names the models that the customer may use.
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class Key:
-    """A granted key: its salted digest, never the key itself."""
+    """A granted key, stored as a salted digest instead of the key itself."""
 
     key_id: Name
     customer: Name
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True, config=STRICT)
 class Model:
-    """A model with the weights version that serves it.
+    """A model and the weights version that serves it.
 
-    `max_output` is the number of output tokens permitted to a request that
-    names no limit of its own, and the most that one may name.
+    `max_output` is the maximum of output tokens of a request, and the default
+    for requests that state none.
     """
 
     name: Name
@@ -78,10 +78,10 @@
 class BackendServer:
     """A backend server: a model engine or a plain service.
 
-    `models` names the models of an engine; `group` names the routes' target
-    of a plain service. `checks_fencing` says whether the server refuses
-    orders with an old fencing number. `slots` is the number of requests it
-    runs at once.
+    `models` names the models of an engine; `group` is the name by which routes
+    refer to a plain service. `checks_fencing` says whether the server refuses
+    orders with an old fencing number. `slots` is the number of requests that
+    it runs concurrently.
     """
 
     name: Name
@@ -100,7 +100,7 @@
     """A path prefix that leads to a group of plain services.
 
     A request on a route that is not `repeatable` runs at most once and needs
-    an ``Idempotency-Key``. A route `open_to_all` needs no key.
+    an ``Idempotency-Key``. A request on a route `open_to_all` needs no API key.
     """
 
     prefix: Annotated[str, Field(pattern=r"^/[!-~]*$")]
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class Configuration:
-    """All that operators have decided, under one revision number."""
+    """The complete configuration at one revision."""
 
     revision: Annotated[int, Field(ge=0)] = 0
     customers: Mapping[str, Customer] = Field(default_factory=dict)
--- a/src/cassiaford/config/_keys.py
+++ b/src/cassiaford/config/_keys.py
@@ -1,7 +1,7 @@
-"""Issuing keys to customers and checking the ones that callers present.
+"""Issuing keys to customers and checking the keys of requests.
 
-A key reads ``cf-<key id>-<secret>``. The identifier finds the entry, so that
-a check costs one digest however many customers there are.
+A key has the form ``cf-<key id>-<secret>``. Its entry is found by the
+identifier, so a check costs one digest regardless of the number of customers.
 """
 
 import hashlib
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class IssuedKey:
-    """A new key: the text for the customer and the entry to be kept."""
+    """A new key: the text for the customer and the entry to be stored."""
 
     text: str = field(repr=False)
     entry: Key
@@ -35,7 +35,7 @@
 
 
 def key_id_of(text: str) -> str | None:
-    """Return the identifier in a key, or None if it has not a key's form."""
+    """Return the identifier in a key, or None if the text is not a key."""
     parts = text.split("-", 2)
     if len(parts) != 3 or parts[0] != KEY_PREFIX:
         return None
@@ -43,10 +43,10 @@
 
 
 def find_customer(configuration: Configuration, text: str) -> Customer | None:
-    """Return the customer whose key this is, or None if it is not granted.
+    """Return the customer that a key was granted to, or None if it is invalid.
 
-    The digests are compared in constant time. The secret is random and long,
-    so one round of a fast digest is enough.
+    Digests are compared in constant time. The secret is long and random, so
+    one round of a fast digest is enough.
     """
     entry = configuration.keys.get(key_id_of(text) or "")
     if entry is None:
--- a/src/cassiaford/config/_sheet.py
+++ b/src/cassiaford/config/_sheet.py
@@ -1,8 +1,8 @@
-"""The day sheet: what operators want to be in force, as a TOML document.
+"""The day sheet: the configuration that operators desire, as a TOML document.
 
-A section that the sheet holds is made true as a whole; one that it lacks is
-left as it is. Keys are not part of it: they are granted and withdrawn while
-traffic runs.
+A section in the sheet replaces that section of the configuration; a section
+that it lacks stays unchanged. Keys are not part of the sheet: they are granted
+and withdrawn separately, while traffic runs.
 """
 
 from dataclasses import replace
@@ -39,13 +39,13 @@
 
 
 class SheetError(DocumentError):
-    """The day sheet cannot be used; `mistakes` has one line for each fault."""
+    """A day sheet that is invalid; `mistakes` has one line for each fault."""
 
 
 def _named_by(field):
-    """Return a validator that puts the name of each entry into the entry."""
+    """Return a validator that copies the name of each entry into a field of it."""
 
-    def put_names(section):
+    def add_names(section):
         if not isinstance(section, dict):
             return section
         return {
@@ -53,12 +53,12 @@
             for name, entry in section.items()
         }
 
-    return BeforeValidator(put_names)
+    return BeforeValidator(add_names)
 
 
 @dataclass(frozen=True, config=STRICT)
 class DaySheet:
-    """What is to be in force; a section that is None is left as it is."""
+    """The desired configuration; a section that is None stays unchanged."""
 
     customers: Annotated[dict[str, Customer], _named_by("name")] | None = None
     models: Annotated[dict[str, Model], _named_by("name")] | None = None
@@ -67,15 +67,15 @@
 
 
 def load_sheet(path: Path) -> DaySheet:
-    """Return the day sheet in a TOML file; raises `SheetError`."""
+    """Return the day sheet in a TOML file; raise `SheetError`."""
     return parse_sheet(read_text(path, SheetError), str(path))
 
 
 def parse_sheet(text: str, source: str = "sheet") -> DaySheet:
     """Return the day sheet in a TOML text.
 
-    Raises `SheetError` with every mistake found, also with names that are
-    used in one section and missing in another.
+    Raises `SheetError` with every mistake, including names that one section
+    refers to and another one lacks.
     """
     sheet = parse_document(text, source, DaySheet, "field", SheetError)
     mistakes = _mistakes(sheet, EMPTY_CONFIGURATION)
@@ -87,20 +87,20 @@
 def plan_sheet(
     sheet: DaySheet, base: Configuration, source: str = "sheet"
 ) -> tuple[Change, ...]:
-    """Return the changes that make a sheet true.
+    """Return the changes that apply a sheet to a configuration.
 
-    Raises `SheetError` if the sheet does not fit what it leaves as it is. A
-    backend server that the sheet no longer names leaves, so that what runs
-    on it can end.
+    Raises `SheetError` if the sheet does not fit the sections that it leaves
+    unchanged. A backend server that the sheet no longer names is set to
+    leaving instead of removed, so that its running requests can end.
     """
     changes = (
-        *_puts(sheet.models, base.models, PutModel),
-        *_puts(_wanted_servers(sheet, base), base.servers, PutServer),
-        *_puts(sheet.routes, base.routes, PutRoute),
-        *_puts(sheet.customers, base.customers, PutCustomer),
-        *_removals(sheet.customers, base.customers, RemoveCustomer),
-        *_removals(sheet.routes, base.routes, RemoveRoute),
-        *_removals(sheet.models, base.models, RemoveModel),
+        *_put_changes(sheet.models, base.models, PutModel),
+        *_put_changes(_desired_servers(sheet, base), base.servers, PutServer),
+        *_put_changes(sheet.routes, base.routes, PutRoute),
+        *_put_changes(sheet.customers, base.customers, PutCustomer),
+        *_remove_changes(sheet.customers, base.customers, RemoveCustomer),
+        *_remove_changes(sheet.routes, base.routes, RemoveRoute),
+        *_remove_changes(sheet.models, base.models, RemoveModel),
     )
     trial = Revision(base.revision + 1, "", "", 0.0, changes)
     mistakes = _mistakes(sheet, apply_changes(base, trial))
@@ -109,7 +109,7 @@
     return changes
 
 
-def _puts(section, present, put):
+def _put_changes(section, present, put):
     return [
         put(value)
         for name, value in (section or {}).items()
@@ -117,13 +117,13 @@
     ]
 
 
-def _removals(section, present, remove):
+def _remove_changes(section, present, remove):
     if section is None:
         return []
     return [remove(name) for name in present if name not in section]
 
 
-def _wanted_servers(sheet, base):
+def _desired_servers(sheet, base):
     if sheet.servers is None:
         return None
     missing = {
@@ -135,10 +135,10 @@
 
 
 def _mistakes(sheet, after):
-    """Return one line for each name that leads nowhere.
+    """Return one line for each invalid entry or reference.
 
-    `after` is the configuration that the sheet leads to; before that is
-    known, only names within the sheet are checked.
+    `after` is the configuration with the sheet applied. If it is empty, only
+    references within the sheet are checked.
     """
     models = _names(sheet.models, after.models)
     servers = _joined(after.servers) or sheet.servers
@@ -149,7 +149,7 @@
         *_misnamed("routes", sheet.routes, "prefix"),
         *_unknown_models("customers", after.customers or sheet.customers, models),
         *_unknown_models("servers", servers, models),
-        *_odd_servers(servers),
+        *_invalid_servers(servers),
         *_unknown_groups(after.routes or sheet.routes, _groups(servers)),
     )
 
@@ -195,7 +195,7 @@
     ]
 
 
-def _odd_servers(section):
+def _invalid_servers(section):
     for name, entry in (section or {}).items():
         if entry.kind is ServerKind.SERVICE and entry.group is None:
             yield f"servers.{name}.group: missing; a service needs a group"
