--- a/src/cassiaford/engines/__init__.py
+++ b/src/cassiaford/engines/__init__.py
@@ -1,4 +1,4 @@
-"""What the system says to model engines and hears from them."""
+"""Control calls to model engines, and the polling of their state."""
 
 from cassiaford.engines._http import HttpEngineControl, create_engine_control
 from cassiaford.engines._poller import EngineObserver, EnginePoller, create_poller
--- a/src/cassiaford/engines/_http.py
+++ b/src/cassiaford/engines/_http.py
@@ -17,20 +17,20 @@
     OrderResponse,
 )
 
-# What an engine answers to the cancelling of a request that it has not.
+# The status of an engine's response to the cancellation of an unknown request.
 NOT_FOUND = 404
 
 
 def create_engine_control(timeout_s: float) -> EngineControl:
-    """Return the control calls; each waits at most `timeout_s` for its answer."""
+    """Return a control client whose calls time out after `timeout_s`."""
     return HttpEngineControl(JsonClient(timeout_s))
 
 
 class HttpEngineControl(EngineControl):
-    """The control calls behind their HTTP interface."""
+    """The control calls to engines over their HTTP interface."""
 
-    def __init__(self, caller: JsonClient):
-        self.caller = caller
+    def __init__(self, client: JsonClient):
+        self.client = client
 
     def load(self, address: str) -> LoadReport:
         """Return the engine's load report."""
@@ -42,7 +42,7 @@
         return self._call("GET", address, target, None, _cache_events)
 
     def order(self, address: str, order: Order) -> OrderResponse:
-        """Give the engine an order and return its answer."""
+        """Send the engine an order and return its response."""
         body = {
             "order_id": order.order_id,
             "fencing": order.fencing,
@@ -51,32 +51,37 @@
             "version": order.version,
             "role": order.role,
         }
-        return self._call("POST", address, "/v1/orders", body, _order_answer)
+        return self._call("POST", address, "/v1/orders", body, _order_response)
 
     def cancel(self, address: str, request_id: str) -> None:
-        """Cancel a running request; one that the engine has not is no error."""
+        """Cancel a running request; ignore one that the engine does not have."""
         target = f"/v1/requests/{quote(request_id, safe='')}"
-        self._call("DELETE", address, target, None, _nothing, (NOT_FOUND,))
+        self._call("DELETE", address, target, None, _no_result, (NOT_FOUND,))
 
     def close(self) -> None:
         """Close the connections that are not in use."""
-        self.caller.close()
+        self.client.close()
 
-    def _call(self, method, address, target, body, decode, also_valid=()):
+    def _call(self, method, address, target, body, decode, also_accepted=()):
         try:
-            answer = self.caller.call(method, address, target, body)
-            if not 200 <= answer.status < 300 and answer.status not in also_valid:
-                raise ResponseLostError(f"{address} answered {answer.status}")
-            return decode(answer)
+            response = self.client.call(method, address, target, body)
+            if (
+                not 200 <= response.status < 300
+                and response.status not in also_accepted
+            ):
+                raise ResponseLostError(
+                    f"{address} responded with status {response.status}"
+                )
+            return decode(response)
         except CallError as error:
             raise EngineError(f"{method} {target}: {error}") from error
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            message = f"{address} answered {target} in an unknown form: {error!r}"
+            message = f"invalid response of {address} to {target}: {error!r}"
             raise EngineError(message) from error
 
 
-def _load_report(answer):
-    document = answer.json()
+def _load_report(response):
+    document = response.json()
     return LoadReport(
         incarnation=str(document["incarnation"]),
         running=int(document["running"]),
@@ -86,8 +91,8 @@
     )
 
 
-def _cache_events(answer):
-    document = answer.json()
+def _cache_events(response):
+    document = response.json()
     return CacheEvents(
         incarnation=str(document["incarnation"]),
         events=tuple(_cache_event(event) for event in document["events"]),
@@ -101,10 +106,10 @@
     return CacheEvent(int(document["sequence"]), kind, int(document["block"], 16))
 
 
-def _order_answer(answer):
-    document = answer.json()
+def _order_response(response):
+    document = response.json()
     return OrderResponse(bool(document["accepted"]), str(document["reason"]))
 
 
-def _nothing(answer):
+def _no_result(response):
     return None
--- a/src/cassiaford/engines/_poller.py
+++ b/src/cassiaford/engines/_poller.py
@@ -1,4 +1,4 @@
-"""Asking the engines, again and again, for their load and cache events."""
+"""Polling of the engines for their load and cache events."""
 
 import random
 import threading
@@ -17,37 +17,37 @@
 from cassiaford.logs import Event
 from cassiaford.timeline import Journal, Subject
 
-# Engines that answered last time, and those that did not, have threads of their
-# own, so that the second sort cannot delay the first.
+# Engines that responded to the last poll are polled by other threads than those
+# that did not, so that unreachable engines cannot delay the others.
 REACHABLE_THREADS = 16
 UNREACHABLE_THREADS = 4
-# With many engines each is asked less often, so that the polls stay within this.
+# With many engines, each is polled less often to stay within this rate.
 MAX_POLLS_PER_S = 10.0
 # Spreads the polls of engines that joined at the same moment.
 JITTER = 0.2
-# How often to look for engines that are due: so many times in an interval.
+# Number of checks for due engines in each polling interval.
 TICKS_PER_INTERVAL = 4
 MAX_TICK_S = 0.5
-# An engine that does not answer is asked less and less often, up to this.
+# Maximum delay between polls of an engine that does not respond.
 MAX_BACKOFF_S = 5.0
-# The sequence number after which an engine's events are all of them.
+# Sequence number that requests all of an engine's cache events.
 BEFORE_FIRST = 0
 
 
 class EngineObserver(ABC):
-    """Takes in what engines report; servers go by their name."""
+    """Receives the reports of engines, identified by their server's name."""
 
     @abstractmethod
     def observe_load(self, server: str, report: LoadReport) -> None:
-        """Take in a load report."""
+        """Process a load report."""
 
     @abstractmethod
     def observe_events(self, server: str, events: CacheEvents) -> None:
-        """Take in cache events."""
+        """Process cache events."""
 
     @abstractmethod
     def forget(self, server: str) -> None:
-        """Drop what is believed about an engine that left or came back empty."""
+        """Discard the state of an engine that left or restarted."""
 
 
 def create_poller(
@@ -57,17 +57,16 @@
     journal: Journal,
     interval_s: float,
 ) -> "EnginePoller":
-    """Return a poller of the joined engines; `start` sets it going."""
+    """Return a poller of the joined engines, not yet started."""
     return EnginePoller(configuration, control, observer, journal, interval_s)
 
 
 class EnginePoller:
     """Polls the joined engines on a few threads.
 
-    An engine that does not answer takes up a thread for one timeout; from
-    then on it is polled by other threads than the engines that do answer. The
-    observer is called by all of these threads, but for one engine never by
-    two of them at once.
+    An engine that does not respond blocks a thread for one timeout; from then
+    on it is polled by other threads than the engines that do respond. All of
+    these threads call the observer, but never two at once for one engine.
     """
 
     def __init__(
@@ -92,11 +91,11 @@
         )
 
     def start(self) -> None:
-        """Start to poll."""
+        """Start polling."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop to poll; a call that is under way ends by its timeout."""
+        """Stop polling; calls in progress are left to time out."""
         self.stopping.set()
         if self.thread.ident is not None:
             self.thread.join()
@@ -104,25 +103,25 @@
             threads.shutdown(wait=False, cancel_futures=True)
 
     def poll_interval_s(self) -> float:
-        """Return the time between two polls of an engine that answers."""
+        """Return the current time between two polls of a reachable engine."""
         return max(self.interval_s, len(self.polls) / MAX_POLLS_PER_S)
 
     def _run(self):
         while not self.stopping.is_set():
             try:
-                self._follow_configuration()
+                self._update_engines()
                 self._submit_due()
             except Exception as error:
                 self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
             tick_s = self.poll_interval_s() / TICKS_PER_INTERVAL
             self.stopping.wait(min(MAX_TICK_S, tick_s))
 
-    def _follow_configuration(self):
+    def _update_engines(self):
         addresses = _joined_engines(self.configuration())
         for name in addresses.keys() - self.polls.keys():
             self.polls[name] = _EnginePoll(self, name)
         for name, poll in tuple(self.polls.items()):
-            poll.wanted_address = addresses.get(name)
+            poll.desired_address = addresses.get(name)
             if poll.finished:
                 del self.polls[name]
 
@@ -138,15 +137,15 @@
 class _EnginePoll:
     """The polling of one engine.
 
-    `address` is where the engine was polled last, and None while nothing is
-    believed about it; `wanted_address` is None once it left.
+    `address` is where the engine was polled last, or None while the observer
+    has no state of it. `desired_address` is None once the engine has left.
     """
 
     def __init__(self, poller: EnginePoller, server: str):
         self.poller = poller
         self.server = server
         self.address: str | None = None
-        self.wanted_address: str | None = None
+        self.desired_address: str | None = None
         self.incarnation: str | None = None
         self.after = BEFORE_FIRST
         self.reachable = True
@@ -156,35 +155,35 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the engine left and is forgotten."""
-        gone = self.address is None and self.wanted_address is None
+        """Whether the engine has left and its state is discarded."""
+        gone = self.address is None and self.desired_address is None
         return gone and not self.in_flight
 
     def is_due(self, now: float) -> bool:
         """Return whether to poll now; a change of address is always due."""
         if self.in_flight:
             return False
-        return now >= self.due_at or self.address != self.wanted_address
+        return now >= self.due_at or self.address != self.desired_address
 
     def run(self) -> None:
-        """Poll once and note when to do so again."""
+        """Poll once and schedule the next poll."""
         try:
-            self._follow_address()
+            self._update_address()
             if self.address is not None:
                 self._poll()
         except Exception as error:
-            # A fault in an observer must not end the polling.
+            # An exception in an observer must not end the polling.
             self._record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
         jitter = random.uniform(1.0 - JITTER, 1.0 + JITTER)
         self.due_at = time.monotonic() + self.delay_s * jitter
         self.in_flight = False
 
-    def _follow_address(self):
-        wanted = self.wanted_address
-        if self.address not in (None, wanted):
+    def _update_address(self):
+        desired = self.desired_address
+        if self.address not in (None, desired):
             self.poller.observer.forget(self.server)
-            self._expect(None)
-        self.address = wanted
+            self._reset(None)
+        self.address = desired
 
     def _poll(self):
         try:
@@ -192,16 +191,16 @@
             self._check_incarnation(report.incarnation)
             events = self.poller.control.cache_events(self.address, self.after)
         except EngineError as error:
-            self._note_failure(error)
+            self._record_failure(error)
             return
-        self._note_success()
+        self._record_success()
         self.poller.observer.observe_load(self.server, report)
         if events.incarnation == self.incarnation:
             self.after = events.next_sequence - 1
             self.poller.observer.observe_events(self.server, events)
         else:
-            # The engine came back between the two calls, and these events were
-            # asked for by a sequence number of its former life.
+            # The engine restarted between the two calls, so these events were
+            # requested by a sequence number of its previous incarnation.
             self._check_incarnation(events.incarnation)
 
     def _check_incarnation(self, incarnation):
@@ -210,20 +209,20 @@
         if self.incarnation is not None:
             self._record(Event.ENGINE_RESTARTED, incarnation=incarnation)
             self.poller.observer.forget(self.server)
-        self._expect(incarnation)
+        self._reset(incarnation)
 
-    def _expect(self, incarnation):
+    def _reset(self, incarnation):
         self.incarnation = incarnation
         self.after = BEFORE_FIRST
 
-    def _note_failure(self, error):
+    def _record_failure(self, error):
         if self.reachable:
             self._record(Event.ENGINE_UNREACHABLE, error=error)
         self.reachable = False
-        longer = 2 * max(self.delay_s, self.poller.interval_s)
-        self.delay_s = min(MAX_BACKOFF_S, longer)
+        doubled_s = 2 * max(self.delay_s, self.poller.interval_s)
+        self.delay_s = min(MAX_BACKOFF_S, doubled_s)
 
-    def _note_success(self):
+    def _record_success(self):
         if not self.reachable:
             self._record(Event.ENGINE_REACHABLE)
         self.reachable = True
--- a/src/cassiaford/engines/_prompt.py
+++ b/src/cassiaford/engines/_prompt.py
@@ -1,8 +1,8 @@
-"""The prompt of a request and the chained hashes of its blocks.
+"""The prompt of a request, and the chained hashes of its blocks.
 
-Two prompts share a block only if they share all text before it, the
-customer, the model and the weights version; so a hash names a cached prefix
-and never crosses from one customer or version to another.
+The hash of a block covers all text before it, the customer, the model and the
+weights version. So it identifies a cached prefix, and prompts of different
+customers or versions never share a hash.
 """
 
 from collections.abc import Mapping
@@ -14,13 +14,13 @@
 
 
 def cache_scope(customer: str, model: str, version: str) -> int:
-    """Return the hash from which the block chains of a scope start."""
+    """Return the hash that starts the block chains of a scope."""
     text = "\0".join((customer, model, version))
     return xxhash.xxh3_64_intdigest(text.encode("utf-8"))
 
 
 def prompt_text(body: Mapping[str, object]) -> bytes:
-    """Return the prompt in a request body as one text.
+    """Return the prompt of a request body as one text.
 
     Takes the body of a chat completion (`messages`) or of a completion
     (`prompt`). Raises `ValueError` if it has neither in a valid form.
--- a/src/cassiaford/engines/_protocol.py
+++ b/src/cassiaford/engines/_protocol.py
@@ -1,4 +1,4 @@
-"""The calls to a model engine beside the OpenAI-compatible interface."""
+"""The control calls to a model engine, apart from its OpenAI-compatible API."""
 
 import enum
 from abc import ABC, abstractmethod
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """One change of an engine's prefix cache, named by the block's hash."""
+    """A change of an engine's prefix cache; `block` is the block's hash."""
 
     sequence: int
     kind: CacheEventKind
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class CacheEvents:
-    """Events of one engine; `gap` says that some before them were lost."""
+    """Cache events of one engine; `gap` says that earlier events were lost."""
 
     incarnation: str
     events: tuple[CacheEvent, ...]
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """The load of an engine at some moment in the past.
+    """The load of an engine when it reported, which may be out of date.
 
-    `queued_tokens` counts prompt tokens not yet computed. `models` maps each
-    loaded model to its weights version.
+    `queued_tokens` counts the prompt tokens that are not prefilled yet. `models`
+    maps each loaded model to its weights version.
     """
 
     incarnation: str
@@ -51,7 +51,7 @@
 
 
 class OrderAction(enum.Enum):
-    """What an engine is ordered to do."""
+    """The action that an order demands."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order to a backend server; higher fencing numbers win."""
+    """An order to a backend server; a higher fencing number takes precedence."""
 
     order_id: str
     fencing: int
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True)
 class OrderResponse:
-    """The answer to an order; `reason` says why it was refused."""
+    """The response to an order; `reason` says why it was refused."""
 
     accepted: bool
     reason: str = ""
 
 
 class EngineControl(ABC):
-    """The control calls of one kind of engine, for servers by address."""
+    """The control calls to engines of one kind, which take an address."""
 
     @abstractmethod
     def load(self, address: str) -> LoadReport:
@@ -91,7 +91,7 @@
 
     @abstractmethod
     def order(self, address: str, order: Order) -> OrderResponse:
-        """Give the engine an order and return its answer."""
+        """Send the engine an order and return its response."""
 
     @abstractmethod
     def cancel(self, address: str, request_id: str) -> None:
