--- a/bench/membership.py
+++ b/bench/membership.py
@@ -17,8 +17,8 @@
 from dataclasses import asdict, dataclass
 
 from cassiaford.fleet import Channel
+from cassiaford.fleet._authenticator import FrameAuthenticator, Identity
 from cassiaford.fleet._codec import decode_membership, encode_membership
-from cassiaford.fleet._gate import FrameAuthenticator, Identity
 from cassiaford.timeline import HybridClock
 from tests.virtual_fleet import VirtualFleet
 
@@ -67,7 +67,7 @@
 
     def on_send(self, sender, receiver, message):
         body = encode_membership(message)
-        frame = self.gate(sender).seal(receiver or "", Channel.MEMBERSHIP, body)
+        frame = self.gate(sender).create_frame(receiver or "", Channel.MEMBERSHIP, body)
         self.messages += 1
         self.bytes += len(frame) + HEADER_BYTES
         self.largest = max(self.largest, len(frame))
--- a/src/cassiaford/fleet/__init__.py
+++ b/src/cassiaford/fleet/__init__.py
@@ -1,4 +1,8 @@
-"""The instances as a fleet: peers, membership, the spread of configuration."""
+"""The fleet of instances: peer messages, membership and shared state.
+
+Instances share the configuration, rate shares, claims on requests and crash
+reports over the key-value service and peer messages.
+"""
 
 from cassiaford.fleet._claims import (
     ClaimRegistry,
--- a/src/cassiaford/fleet/_gate.py
+++ b/src/cassiaford/fleet/_authenticator.py
@@ -1,4 +1,4 @@
-"""Which frames between instances are taken in, and which are dropped."""
+"""Authentication of the frames between instances."""
 
 import collections
 import enum
@@ -10,30 +10,30 @@
     DecodeError,
     Envelope,
     ProtocolVersionError,
-    seal,
-    unseal,
+    decode_frame,
+    encode_frame,
 )
 from cassiaford.fleet._transport import Channel, PeerMessage
 from cassiaford.timeline import HybridClock
 
-# The newest senders whose incarnation is remembered.
+# Limit on remembered incarnations; the least recent sender is dropped first.
 MAX_SENDERS = 4096
 
 
 class DropReason(enum.Enum):
     """Why a frame was dropped."""
 
-    FOREIGN = "not authenticated by the fleet's secret"
+    UNAUTHENTICATED = "not authenticated by the fleet's secret"
     PROTOCOL_VERSION = "unknown protocol version"
     MALFORMED = "malformed"
     OTHER_RECEIVER = "meant for another instance"
     OLD_INCARNATION = "sent by an older incarnation"
-    OWN = "sent by this instance"
+    OWN_FRAME = "sent by this instance"
     UNKNOWN_CHANNEL = "unknown channel"
 
 
 class DroppedError(Exception):
-    """A frame was dropped; `reason` says why."""
+    """A frame was dropped for `reason`."""
 
     def __init__(self, reason: DropReason):
         super().__init__(reason.value)
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """What an instance puts on its messages."""
+    """The identity and secret with which an instance sends messages."""
 
     instance: str
     incarnation: int
@@ -50,7 +50,7 @@
 
 
 class FrameAuthenticator:
-    """Seals the messages of one instance and checks those that arrive."""
+    """Creates the frames of one instance and checks received frames."""
 
     def __init__(self, identity: Identity, clock: HybridClock):
         self.identity = identity
@@ -61,8 +61,11 @@
         )
         self._lock = threading.Lock()
 
-    def seal(self, receiver: str, channel: Channel, body: bytes) -> bytes:
-        """Return the frame of a message to a member, or to an address."""
+    def create_frame(self, receiver: str, channel: Channel, body: bytes) -> bytes:
+        """Return the frame of a message to a member, or to an address.
+
+        `receiver` is empty if only the address is known.
+        """
         envelope = Envelope(
             sender=self.identity.instance,
             incarnation=self.identity.incarnation,
@@ -71,12 +74,12 @@
             channel=channel.value,
             body=body,
         )
-        return seal(envelope, self.identity.secret)
+        return encode_frame(envelope, self.identity.secret)
 
     def accept(self, frame: bytes) -> PeerMessage:
         """Return the message in a frame.
 
-        Raises `DroppedError`, and counts it, if the message must not be used.
+        Counts the frame as dropped and raises `DroppedError` if it is invalid.
         """
         try:
             return self._accept(frame)
@@ -86,9 +89,9 @@
             raise
 
     def _accept(self, frame):
-        envelope = self._unseal(frame)
+        envelope = self._decode(frame)
         if envelope.sender == self.identity.instance:
-            raise DroppedError(DropReason.OWN)
+            raise DroppedError(DropReason.OWN_FRAME)
         if envelope.receiver not in ("", self.identity.instance):
             raise DroppedError(DropReason.OTHER_RECEIVER)
         self._check_incarnation(envelope)
@@ -100,11 +103,11 @@
             body=envelope.body,
         )
 
-    def _unseal(self, frame):
+    def _decode(self, frame):
         try:
-            return unseal(frame, self.identity.secret)
+            return decode_frame(frame, self.identity.secret)
         except AuthenticationError:
-            raise DroppedError(DropReason.FOREIGN) from None
+            raise DroppedError(DropReason.UNAUTHENTICATED) from None
         except ProtocolVersionError:
             raise DroppedError(DropReason.PROTOCOL_VERSION) from None
         except DecodeError:
@@ -112,8 +115,8 @@
 
     def _check_incarnation(self, envelope):
         with self._lock:
-            known = self._incarnations.get(envelope.sender, 0)
-            if envelope.incarnation < known:
+            newest = self._incarnations.get(envelope.sender, 0)
+            if envelope.incarnation < newest:
                 raise DroppedError(DropReason.OLD_INCARNATION)
             self._incarnations[envelope.sender] = envelope.incarnation
             self._incarnations.move_to_end(envelope.sender)
--- a/src/cassiaford/fleet/_claim_messages.py
+++ b/src/cassiaford/fleet/_claim_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which instances forward claims to each other."""
+"""The messages with which instances forward claims to each other."""
 
 from dataclasses import dataclass
 
@@ -13,54 +13,54 @@
 
 
 class ClaimMessageError(ValueError):
-    """A message that cannot be understood."""
+    """A message that cannot be decoded."""
 
 
 @dataclass(frozen=True)
-class ForwardClaim:
-    """Asks the receiver to claim for the sender."""
+class ForwardedClaim:
+    """A request that the receiver claim for the sender."""
 
     shard: str
     record: ClaimRecord
 
 
 @dataclass(frozen=True)
-class ForwardEnd:
-    """Asks the receiver to record an outcome for the sender."""
+class ForwardedOutcome:
+    """A request that the receiver record an outcome for the sender."""
 
     shard: str
     record: ClaimRecord
 
 
 @dataclass(frozen=True)
-class ClaimAnswered:
-    """The answer to a forwarded claim; None stands for a granted one."""
+class ClaimReply:
+    """The reply to a forwarded claim; `answer` is None if it was granted."""
 
     nonce: str
     answer: RecordedOutcome | Refusal | None
 
 
 @dataclass(frozen=True)
-class EndTaken:
-    """Says that a forwarded outcome has arrived."""
+class OutcomeConfirmed:
+    """A confirmation that a forwarded outcome was recorded."""
 
     nonce: str
 
 
-ClaimMessage = ForwardClaim | ForwardEnd | ClaimAnswered | EndTaken
+ClaimMessage = ForwardedClaim | ForwardedOutcome | ClaimReply | OutcomeConfirmed
 
 
 def encode_claim_message(message: ClaimMessage) -> bytes:
     """Return the body of a message to a peer."""
     builder = _schema.ClaimMessage.new_message()
     match message:
-        case ForwardClaim():
+        case ForwardedClaim():
             _fill_ask(builder.init("ask"), message)
-        case ForwardEnd():
+        case ForwardedOutcome():
             _fill_ask(builder.init("end"), message)
-        case ClaimAnswered():
+        case ClaimReply():
             _fill_answer(builder.init("answer"), message)
-        case EndTaken():
+        case OutcomeConfirmed():
             builder.ended = message.nonce
     return builder.to_bytes_packed()
 
@@ -102,15 +102,15 @@
 def _message(reader):
     match reader.which():
         case "ask":
-            return ForwardClaim(reader.ask.shard, decode_record(reader.ask.record))
+            return ForwardedClaim(reader.ask.shard, decode_record(reader.ask.record))
         case "end":
-            return ForwardEnd(reader.end.shard, decode_record(reader.end.record))
+            return ForwardedOutcome(reader.end.shard, decode_record(reader.end.record))
         case "answer":
-            return ClaimAnswered(reader.answer.nonce, _answer(reader.answer))
+            return ClaimReply(reader.answer.nonce, _answer(reader.answer))
         case "ended":
-            return EndTaken(reader.ended)
+            return OutcomeConfirmed(reader.ended)
         case other:
-            raise ClaimMessageError(f"unknown message {other}")
+            raise ClaimMessageError(f"unknown claim message {other}")
 
 
 def _answer(reader):
@@ -135,4 +135,4 @@
                 refusal.retryAfterS if refusal.mayRetry else None,
             )
         case other:
-            raise ClaimMessageError(f"unknown answer {other}")
+            raise ClaimMessageError(f"unknown claim answer {other}")
--- a/src/cassiaford/fleet/_claim_shards.py
+++ b/src/cassiaford/fleet/_claim_shards.py
@@ -1,4 +1,4 @@
-"""The thread that reads and writes one shard of claims."""
+"""The worker thread that reads and writes one shard of claims."""
 
 import random
 import threading
@@ -31,54 +31,54 @@
 
 SHARD_PREFIX = "claims/"
 SEGMENT_PREFIX = "sealed-claims/"
-# The longest time that a caller waits for the answer to its claim.
+# A request waits at most this long for the answer to its claim.
 CLAIM_TIMEOUT_S = 2.0
-# After a failed call, claims are refused without a call for this long.
+# After a failed call to the service, claims are refused at once for this long.
 OUTAGE_RETRY_S = 0.5
 
 
 class MissingSegmentError(Exception):
-    """A sealed segment that a shard names is not in the key-value service."""
+    """A sealed segment that a shard refers to is missing."""
 
 
 @dataclass
 class Outage:
-    """Until when the service is taken to be down; shared by the shards."""
+    """The time until which the service is assumed down; shared by the shards."""
 
     until: float = 0.0
 
     def remaining(self, now: float) -> float:
-        """Return for how much longer the service is taken to be down."""
+        """Return for how much longer the service is assumed to be down."""
         return self.until - now
 
 
 @dataclass
 class _Waiter:
-    """A caller that waits for the answer to its claim."""
+    """A thread that waits for the answer to its claim."""
 
     done: threading.Event = field(default_factory=threading.Event)
     answer: ClaimAnswer | None = None
 
-    def take(self, answer: ClaimAnswer) -> None:
-        """Take the answer and wake the caller."""
+    def set_answer(self, answer: ClaimAnswer) -> None:
+        """Store the answer and wake the waiting thread."""
         self.answer = answer
         self.done.set()
 
 
 class ShardWorker:
-    """The thread that reads and writes one shard, and those that wait for it."""
+    """Reads and writes one shard on a thread, and answers those that wait."""
 
     def __init__(
         self,
-        book: ShardClaims,
+        claims: ShardClaims,
         key_value: KeyValueService,
         journal: Journal,
         outage: Outage,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
     ):
-        self.name = book.name
-        self.book = book
+        self.name = claims.name
+        self.claims = claims
         self.key_value = key_value
         self.journal = journal
         self.outage = outage
@@ -87,22 +87,22 @@
         self.waiters = {}
         self.condition = threading.Condition()
         self.stopping = False
-        self.conflicts = 0
-        self.unknown_in_a_row = 0
-        self.rng = random.Random(f"{book.author}/{book.name}")
+        self.consecutive_conflicts = 0
+        self.consecutive_unknown_outcomes = 0
+        self.rng = random.Random(f"{claims.author}/{claims.name}")
         self.thread = threading.Thread(
-            target=self._run, name=f"claims-{book.name}", daemon=True
+            target=self._run, name=f"claims-{claims.name}", daemon=True
         )
 
     def claim(self, record: ClaimRecord, forwarded: bool = False) -> ClaimAnswer:
-        """Claim for the own instance; wait for the answer."""
+        """Claim for the own instance and wait for the answer."""
         waiter = _Waiter()
-        self.submit(record, waiter.take, forwarded)
+        self.submit(record, waiter.set_answer, forwarded)
         waiter.done.wait(CLAIM_TIMEOUT_S)
         with self.condition:
             self.waiters.pop(record.nonce, None)
             if waiter.answer is None:
-                self.book.abandon(record.nonce)
+                self.claims.abandon(record.nonce)
                 waiter.answer = unavailable_refusal(OUTAGE_RETRY_S)
         return waiter.answer
 
@@ -112,99 +112,102 @@
         reply: Callable[[ClaimAnswer], None],
         forwarded: bool = False,
     ) -> None:
-        """Claim, and have the answer given to `reply`."""
+        """Queue a claim; `reply` is called with the answer."""
         with self.condition:
-            down_s = self.outage.remaining(self.clock())
+            outage_s = self.outage.remaining(self.clock())
             self.waiters[record.nonce] = reply
-            settled = self.book.submit(record, self.clock(), forwarded)
-            if settled is not None:
-                self._answer((settled,))
-            elif down_s > 0:
-                self._answer((self.book.refuse(record.nonce, down_s),))
+            resolved = self.claims.submit(record, self.clock(), forwarded)
+            if resolved is not None:
+                self._deliver((resolved,))
+            elif outage_s > 0:
+                self._deliver((self.claims.refuse(record.nonce, outage_s),))
             self.condition.notify_all()
 
-    def forget(self, nonce: str) -> None:
-        """Leave the outcome of an own claim to another instance."""
+    def discard_active(self, nonce: str) -> None:
+        """Stop tracking an own claim whose outcome another instance records."""
         with self.condition:
-            self.book.active.discard(nonce)
+            self.claims.active.discard(nonce)
 
-    def end(self, record: ClaimRecord) -> bool:
+    def record_outcome(self, record: ClaimRecord) -> bool:
         """Queue an outcome; return whether it will be written."""
         with self.condition:
-            queued = self.book.record_outcome(record)
+            queued = self.claims.record_outcome(record)
             self.condition.notify_all()
         return queued and self.thread.is_alive()
 
     def release(self, record: ClaimRecord) -> None:
-        """Release an own claim under which nothing runs or ran."""
+        """Release an own claim under which no request runs or ran."""
         with self.condition:
-            self.book.release(record)
+            self.claims.release(record)
             self.condition.notify_all()
 
-    def disown(self, nonce: str) -> None:
-        """Release an own claim that another instance was granted too late."""
+    def reject_ownership(self, nonce: str) -> None:
+        """Release an own claim that another instance granted too late."""
         with self.condition:
-            self.book.reject_ownership(nonce)
+            self.claims.reject_ownership(nonce)
             self.condition.notify_all()
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Take note that an incarnation of an instance runs no more."""
+        """Record that an incarnation of an instance has ended."""
         with self.condition:
-            self.book.mark_gone(instance, incarnation)
+            self.claims.mark_gone(instance, incarnation)
 
     def request_stop(self) -> None:
-        """Have the thread end once nothing waits to be written."""
+        """Let the thread end once all claims and outcomes are written."""
         with self.condition:
             self.stopping = True
             self.condition.notify_all()
 
     def join(self, timeout_s: float) -> bool:
-        """Wait for the thread; return whether it has ended."""
+        """Wait for the thread to end; return whether it did."""
         self.thread.join(max(0.0, timeout_s))
         return not self.thread.is_alive()
 
     def _run(self):
         while self._wait_for_work():
             try:
-                self._take_step()
+                self._perform_next_step()
             except OutcomeUnknownError:
-                self._on_unknown()
+                self._on_unknown_outcome()
             except KeyValueError:
                 self._on_outage()
             except Exception as error:
-                # A value that cannot be read must not end the thread.
+                # An undecodable value must not end the thread.
                 self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
                 self._refuse_all()
 
-    def _take_step(self):
+    def _perform_next_step(self):
         with self.condition:
-            step = self.book.next_step(self.wall_clock())
-        lost = step is not None and self._perform(step)
-        self.unknown_in_a_row = 0
-        self.conflicts = self.conflicts + 1 if lost else 0
-        if lost:
-            time.sleep(conflict_delay(self.conflicts, self.rng))
+            step = self.claims.next_step(self.wall_clock())
+        conflict = step is not None and self._perform(step)
+        self.consecutive_unknown_outcomes = 0
+        self.consecutive_conflicts = self.consecutive_conflicts + 1 if conflict else 0
+        if conflict:
+            time.sleep(conflict_delay(self.consecutive_conflicts, self.rng))
 
     def _wait_for_work(self):
-        """Wait for claims or outcomes, then for others to join them."""
+        """Wait for claims or outcomes, then for a batch of them to gather.
+
+        Return False if the worker is stopping and everything is written.
+        """
         with self.condition:
-            while not (self.book.pending or self.book.changes):
+            while not (self.claims.pending or self.claims.changes):
                 if self.stopping:
                     return False
                 self.condition.wait()
-            if not self.book.pending and not self.stopping:
+            if not self.claims.pending and not self.stopping:
                 self.condition.wait_for(self._is_urgent, OUTCOME_BATCH_WINDOW_S)
         time.sleep(CLAIM_BATCH_WINDOW_S)
         return True
 
     def _is_urgent(self):
-        return bool(self.book.pending) or self.stopping
+        return bool(self.claims.pending) or self.stopping
 
     def _perform(self, step):
-        """Make one call; return whether a write lost to another instance's."""
+        """Perform one step; return whether a write conflict to another instance's."""
         match step:
             case ReadShard():
-                self._on_entry(self.key_value.get(_key_of(self.name)))
+                self._on_shard_entry(self.key_value.get(_shard_key(self.name)))
             case WriteShard():
                 return self._write(step)
             case ReadSegment(name=name):
@@ -215,20 +218,20 @@
 
     def _write(self, step):
         value = encode_shard(step.state)
-        key = _key_of(self.name)
+        key = _shard_key(self.name)
         result = self.key_value.compare_and_swap(key, value, step.version)
         if not result.swapped:
-            self._on_entry(result.entry)
+            self._on_shard_entry(result.entry)
             return True
         with self.condition:
-            self._answer(self.book.on_shard_written(result.entry.version))
+            self._deliver(self.claims.on_shard_written(result.entry.version))
         return False
 
-    def _on_entry(self, entry):
+    def _on_shard_entry(self, entry):
         state = decode_shard(entry.value)
         with self.condition:
             wall = self.wall_clock()
-            self._answer(self.book.on_shard_read(state, entry.version, wall))
+            self._deliver(self.claims.on_shard_read(state, entry.version, wall))
 
     def _read_segment(self, name):
         entry = self.key_value.get(f"{SEGMENT_PREFIX}{name}")
@@ -236,7 +239,7 @@
             raise MissingSegmentError(name)
         records = decode_segment(entry.value)
         with self.condition:
-            self._answer(self.book.on_segment_read(name, records))
+            self._deliver(self.claims.on_segment_read(name, records))
 
     def _write_segment(self, step):
         value = encode_segment(step.records)
@@ -244,14 +247,14 @@
         key = f"{SEGMENT_PREFIX}{step.name}"
         self.key_value.compare_and_swap(key, value, 0, lease)
         with self.condition:
-            self.book.on_segment_written()
+            self.claims.on_segment_written()
 
-    def _on_unknown(self):
-        """Try the write again; the second time, take the service to be down."""
-        self.unknown_in_a_row += 1
+    def _on_unknown_outcome(self):
+        """Retry the write; after a second unknown outcome, assume an outage."""
+        self.consecutive_unknown_outcomes += 1
         with self.condition:
-            self.book.on_unknown_outcome()
-        if self.unknown_in_a_row > 1:
+            self.claims.on_unknown_outcome()
+        if self.consecutive_unknown_outcomes > 1:
             self._on_outage()
 
     def _on_outage(self):
@@ -260,16 +263,16 @@
 
     def _refuse_all(self):
         with self.condition:
-            self.book.on_not_written()
-            self._answer(self.book.refuse_all(OUTAGE_RETRY_S))
+            self.claims.on_not_written()
+            self._deliver(self.claims.refuse_all(OUTAGE_RETRY_S))
         time.sleep(OUTAGE_RETRY_S)
 
-    def _answer(self, settled):
-        for item in settled:
+    def _deliver(self, resolved):
+        for item in resolved:
             reply = self.waiters.pop(item.nonce, None)
             if reply is not None:
                 reply(item.answer)
 
 
-def _key_of(shard):
+def _shard_key(shard):
     return f"{SHARD_PREFIX}{shard}"
--- a/src/cassiaford/fleet/_claims.py
+++ b/src/cassiaford/fleet/_claims.py
@@ -1,4 +1,4 @@
-"""Claims on requests that run at most once, over the key-value service."""
+"""Claims that make a request run at most once, in the key-value service."""
 
 import hashlib
 import secrets
@@ -28,28 +28,28 @@
 
 
 class ClaimService(ABC):
-    """Decides whether a request that may not be repeated may run."""
+    """Decides whether a non-repeatable request may run."""
 
     @abstractmethod
     def claim(
         self, customer: str, idempotency_key: str, fingerprint: str, request_id: str
     ) -> Claim | RecordedOutcome | Refusal:
-        """Claim a request; block until the answer is certain."""
+        """Claim a request; block until the answer is known."""
 
     @abstractmethod
-    def record(self, claim: Claim, outcome: Outcome) -> None:
-        """Record how a claimed request ended; does not block."""
+    def record_outcome(self, claim: Claim, outcome: Outcome) -> None:
+        """Record the outcome of a claimed request without blocking."""
 
     @abstractmethod
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Take note that an incarnation of an instance runs no more."""
+        """Record that an incarnation of an instance has ended."""
 
 
 class ClaimRegistry(ClaimService):
-    """Claims requests by grouped writes, one thread for each shard in use.
+    """Claims requests in batched writes, with one thread for each shard in use.
 
-    With a transport, the claims of all instances go to one for each shard, so
-    that a write carries those of the whole fleet.
+    With a transport, one instance writes the claims of the whole fleet for a
+    shard, so that one write carries claims of many instances.
     """
 
     def __init__(
@@ -69,22 +69,22 @@
         self.clock = clock
         self.wall_clock = wall_clock
         self.outage = Outage()
-        self._gone = {}
-        self._shards = {}
+        self._gone_incarnations = {}
+        self._workers = {}
         self._lock = threading.Lock()
         self._stopped = False
         self.forwarder = None
         if transport is not None:
-            host = _Host(self)
+            host = _RegistryClaimHost(self)
             self.forwarder = ClaimForwarder(transport, host, instance, clock)
 
     def claim(
         self, customer: str, idempotency_key: str, fingerprint: str, request_id: str
     ) -> Claim | RecordedOutcome | Refusal:
-        """Claim a request; block until the answer is certain.
+        """Claim a request; block until the answer is known.
 
-        The answer takes one write to the service, a few milliseconds. A
-        `Claim` must be given to `record` in the end.
+        This takes one write to the service, a few milliseconds. Pass a returned
+        `Claim` to `record_outcome` when the request has ended.
         """
         record = ClaimRecord(
             key=_digest(customer, idempotency_key),
@@ -101,17 +101,17 @@
         home = self._home(name)
         answer = self.forwarder.claim(home, name, record) if home else None
         if answer is None:
-            return self._shard(name).claim(record, forwarded=home is not None)
+            return self._worker(name).claim(record, forwarded=home is not None)
         if _is_unavailable(answer):
-            # The write that failed there may take effect all the same.
-            self._shard(name).release(record)
+            # The write that failed at the home may still take effect.
+            self._worker(name).release(record)
         return answer
 
-    def record(self, claim: Claim, outcome: Outcome) -> None:
-        """Record how a claimed request ended; does not block.
+    def record_outcome(self, claim: Claim, outcome: Outcome) -> None:
+        """Record the outcome of a claimed request without blocking.
 
-        With the verdict *not run* the claim is released, so that the caller
-        may send the request again.
+        The verdict *not run* releases the claim, so that the caller can send
+        the request again.
         """
         record = ended_record(
             claim,
@@ -123,75 +123,77 @@
         )
         home = self._home(claim.shard)
         if home is not None:
-            self.forwarder.end(home, claim.shard, record)
-            self._shard(claim.shard).forget(record.nonce)
+            self.forwarder.forward_outcome(home, claim.shard, record)
+            self._worker(claim.shard).discard_active(record.nonce)
         else:
-            self._end(claim.shard, record)
+            self._record_locally(claim.shard, record)
 
     def _home(self, shard):
         return self.forwarder.home(shard) if self.forwarder else None
 
-    def _end(self, name, record):
-        if not self._shard(name).end(record):
+    def _record_locally(self, name, record):
+        if not self._worker(name).record_outcome(record):
             subject = Subject(request_id=record.request_id)
             self.journal.record(Event.CLAIM_OUTCOME_LOST, subject)
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Take note that an incarnation of an instance runs no more."""
+        """Record that an incarnation of an instance has ended."""
         with self._lock:
-            self._gone[instance] = max(incarnation, self._gone.get(instance, 0))
-            shards = list(self._shards.values())
-        for shard in shards:
-            shard.mark_gone(instance, incarnation)
+            self._gone_incarnations[instance] = max(
+                incarnation, self._gone_incarnations.get(instance, 0)
+            )
+            workers = list(self._workers.values())
+        for worker in workers:
+            worker.mark_gone(instance, incarnation)
 
     def stop(self, timeout_s: float) -> bool:
-        """Write the outcomes that wait and end; return whether all was written."""
+        """Write the queued outcomes and stop; return whether all were written."""
         deadline = time.monotonic() + timeout_s
         if self.forwarder is not None:
             self.forwarder.stop()
         with self._lock:
             self._stopped = True
-            shards = list(self._shards.values())
-        for shard in shards:
-            shard.request_stop()
-        finished = [shard.join(deadline - time.monotonic()) for shard in shards]
+            workers = list(self._workers.values())
+        for worker in workers:
+            worker.request_stop()
+        finished = [worker.join(deadline - time.monotonic()) for worker in workers]
         return all(finished)
 
-    def _shard(self, name):
+    def _worker(self, name):
         with self._lock:
-            shard = self._shards.get(name)
-            if shard is None:
-                book = ShardClaims(name, self.instance, self.incarnation)
-                shard = ShardWorker(
-                    book,
+            worker = self._workers.get(name)
+            if worker is None:
+                claims = ShardClaims(name, self.instance, self.incarnation)
+                worker = ShardWorker(
+                    claims,
                     self.key_value,
                     self.journal,
                     self.outage,
                     self.clock,
                     self.wall_clock,
                 )
-                for instance, incarnation in self._gone.items():
-                    shard.mark_gone(instance, incarnation)
-                shard.thread.start()
-                self._shards[name] = shard
-            return shard
+                for instance, incarnation in self._gone_incarnations.items():
+                    worker.mark_gone(instance, incarnation)
+                worker.thread.start()
+                self._workers[name] = worker
+            return worker
 
 
-class _Host(ClaimHost):
-    """Gives the forwarder the shards of a registry."""
+class _RegistryClaimHost(ClaimHost):
+    """Gives the forwarder access to the shards of a registry."""
 
     def __init__(self, registry):
         self.registry = registry
 
     def submit(self, shard, record, reply):
-        self.registry._shard(shard).submit(record, reply)
+        self.registry._worker(shard).submit(record, reply)
 
-    def end(self, shard, record):
-        return self.registry._shard(shard).end(record)
+    def record_outcome(self, shard, record):
+        return self.registry._worker(shard).record_outcome(record)
 
-    def disown(self, nonce):
-        for shard in list(self.registry._shards.values()):
-            shard.disown(nonce)
+    def reject_ownership(self, nonce):
+        for worker in list(self.registry._workers.values()):
+            worker.reject_ownership(nonce)
 
     def mark_gone(self, instance, incarnation):
         self.registry.mark_gone(instance, incarnation)
@@ -206,7 +208,10 @@
     wall_clock: Callable[[], float] = time.time,
     transport: PeerTransport | None = None,
 ) -> ClaimRegistry:
-    """Return the claims of an instance; `clock` is in monotonic seconds."""
+    """Return the claim registry of an instance.
+
+    `clock` returns monotonic seconds, `wall_clock` seconds since the epoch.
+    """
     return ClaimRegistry(
         key_value, journal, instance, incarnation, clock, wall_clock, transport
     )
@@ -219,8 +224,8 @@
 
 
 def _is_unavailable(answer):
-    unclaimed = RefusalReason.CLAIMS_UNAVAILABLE
-    return isinstance(answer, Refusal) and answer.reason is unclaimed
+    unavailable = RefusalReason.CLAIMS_UNAVAILABLE
+    return isinstance(answer, Refusal) and answer.reason is unavailable
 
 
 def _digest(customer, idempotency_key):
--- a/src/cassiaford/fleet/_claims_codec.py
+++ b/src/cassiaford/fleet/_claims_codec.py
@@ -1,7 +1,8 @@
-"""The form of a shard of claims in the key-value service.
+"""The encoding of a shard of claims in the key-value service.
 
-A line of sealed segments, then one claim a line, each a JSON array, so that
-operators can read a shard and a later release can append fields.
+The first line lists the sealed segments; each further line is one claim. Every
+line is a JSON array, so that operators can read a shard and later releases can
+append fields.
 """
 
 import base64
@@ -13,14 +14,14 @@
 
 
 def encode_shard(state: ShardState) -> bytes:
-    """Return the value of a shard: the sealed segments, then the records."""
+    """Encode a shard: its sealed segments, then its records."""
     sealed = [[segment.name, segment.newest] for segment in state.sealed]
     head = json.dumps(sealed, separators=(",", ":")).encode()
     return head + b"\n" + encode_segment(state.records)
 
 
 def decode_shard(value: bytes | None) -> ShardState:
-    """Return what a shard's value holds."""
+    """Decode the value of a shard; an absent one is an empty shard."""
     if not value:
         return ShardState()
     head, _, rest = value.partition(b"\n")
@@ -29,12 +30,12 @@
 
 
 def encode_segment(records: Mapping[str, ClaimRecord]) -> bytes:
-    """Return the value of a segment."""
+    """Encode the records of a segment."""
     return b"\n".join(encode_record(record) for record in records.values())
 
 
 def decode_segment(value: bytes) -> dict[str, ClaimRecord]:
-    """Return the records in a segment's value, by key."""
+    """Decode the value of a segment to its records by key."""
     if not value:
         return {}
     records = [decode_record(line) for line in value.split(b"\n")]
@@ -42,7 +43,7 @@
 
 
 def encode_record(record: ClaimRecord) -> bytes:
-    """Return one line of a shard or segment."""
+    """Encode a record as one line of a shard or segment."""
     fields = [
         record.key,
         record.fingerprint,
@@ -62,7 +63,7 @@
 
 
 def decode_record(line: bytes) -> ClaimRecord:
-    """Return the record in a line; fields of later releases are left out."""
+    """Decode a line; fields appended by later releases are ignored."""
     record = ClaimRecord(*json.loads(line)[:13])
     values = dict(vars(record))
     values["state"] = ClaimState(record.state)
--- a/src/cassiaford/fleet/_codec.py
+++ b/src/cassiaford/fleet/_codec.py
@@ -1,8 +1,8 @@
 """The encoding of messages between instances.
 
 A frame is an HMAC-SHA-256 followed by a packed Cap'n Proto `Envelope`. The
-HMAC stands outside the envelope, so that nothing is parsed before it is known
-to come from the fleet.
+HMAC is outside the envelope, so that a frame is authenticated before any of it
+is parsed.
 """
 
 import hashlib
@@ -29,20 +29,20 @@
 
 
 class DecodeError(ValueError):
-    """A frame or body that does not have the form of this protocol."""
+    """A frame or body that is malformed."""
 
 
 class AuthenticationError(DecodeError):
-    """A frame that does not come from an instance with the fleet's secret."""
+    """A frame that was not authenticated with the fleet's secret."""
 
 
 class ProtocolVersionError(DecodeError):
-    """A frame of a protocol version that this release does not know."""
+    """A frame of a protocol version that this release does not support."""
 
 
 @dataclass(frozen=True)
 class Envelope:
-    """What surrounds a message between instances.
+    """The header and body of a message between instances.
 
     `receiver` is empty if the sender knows only an address.
     """
@@ -57,18 +57,18 @@
 
 @dataclass(frozen=True)
 class ConfigurationContent:
-    """Configuration that one instance fetched from another, as JSON texts.
+    """The encoded configuration that an instance sends in a reply to another.
 
     It is either a whole `snapshot` or the log `entries` that follow the
-    revision asked for.
+    requested revision.
     """
 
     snapshot: bytes = field(default=b"", repr=False)
     entries: tuple[bytes, ...] = field(default=(), repr=False)
 
 
-def seal(envelope: Envelope, secret: bytes) -> bytes:
-    """Return the frame of an envelope."""
+def encode_frame(envelope: Envelope, secret: bytes) -> bytes:
+    """Encode and authenticate an envelope."""
     message = schema.Envelope.new_message(
         major=PROTOCOL_MAJOR,
         minor=PROTOCOL_MINOR,
@@ -84,8 +84,8 @@
     return _mac(payload, secret) + payload
 
 
-def unseal(frame: bytes, secret: bytes) -> Envelope:
-    """Return the envelope in a frame.
+def decode_frame(frame: bytes, secret: bytes) -> Envelope:
+    """Check and decode a frame.
 
     Raises `AuthenticationError`, `ProtocolVersionError` or `DecodeError`.
     """
@@ -96,7 +96,7 @@
 
 
 def encode_membership(message: MembershipMessage) -> bytes:
-    """Return the body of a membership message."""
+    """Encode a membership message."""
     builder = schema.MembershipMessage.new_message(
         kind=int(message.kind),
         sequence=message.sequence,
@@ -111,33 +111,33 @@
 
 
 def decode_membership(body: bytes) -> MembershipMessage:
-    """Return the membership message in a body; raises `DecodeError`."""
+    """Decode a membership message; raises `DecodeError`."""
     return _decode(body, schema.MembershipMessage, _read_membership)
 
 
 def encode_notice(revision: int) -> bytes:
-    """Return the body that tells which revision is in force."""
+    """Encode a notice of the revision in force at the sender."""
     return schema.ConfigurationNotice.new_message(revision=revision).to_bytes_packed()
 
 
 def decode_notice(body: bytes) -> int:
-    """Return the revision in a notice; raises `DecodeError`."""
+    """Decode a notice to its revision; raises `DecodeError`."""
     return _decode(body, schema.ConfigurationNotice, lambda notice: notice.revision)
 
 
 def encode_request(after_revision: int) -> bytes:
-    """Return the body that asks for what follows a revision."""
+    """Encode a request for the configuration after a revision."""
     request = schema.ConfigurationRequest.new_message(afterRevision=after_revision)
     return request.to_bytes_packed()
 
 
 def decode_request(body: bytes) -> int:
-    """Return the revision in a request; raises `DecodeError`."""
+    """Decode a request to its revision; raises `DecodeError`."""
     return _decode(body, schema.ConfigurationRequest, lambda r: r.afterRevision)
 
 
 def encode_content(content: ConfigurationContent) -> bytes:
-    """Return the body of a reply with configuration."""
+    """Encode a configuration reply."""
     reply = schema.ConfigurationReply.new_message(
         snapshot=content.snapshot, entries=list(content.entries)
     )
@@ -145,7 +145,7 @@
 
 
 def decode_content(body: bytes) -> ConfigurationContent:
-    """Return the configuration in a reply; raises `DecodeError`."""
+    """Decode a configuration reply; raises `DecodeError`."""
     return _decode(
         body,
         schema.ConfigurationReply,
@@ -170,7 +170,7 @@
 
 def _read_envelope(envelope):
     if envelope.major != PROTOCOL_MAJOR:
-        raise ProtocolVersionError(f"protocol version {envelope.major}")
+        raise ProtocolVersionError(f"unsupported protocol version {envelope.major}")
     return Envelope(
         sender=envelope.sender,
         incarnation=envelope.incarnation,
--- a/src/cassiaford/fleet/_configuration.py
+++ b/src/cassiaford/fleet/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this instance, and the threads that keep it."""
+"""The configuration in force at this instance, and the threads that update it."""
 
 import random
 import threading
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from cassiaford.config import Configuration
+from cassiaford.fleet._authenticator import DroppedError
 from cassiaford.fleet._codec import DecodeError
 from cassiaford.fleet._exchange import ConfigurationExchange
-from cassiaford.fleet._gate import DroppedError
 from cassiaford.fleet._log import SNAPSHOT_INTERVAL, ConfigurationLog
 from cassiaford.fleet._revision_codec import (
     EntryError,
@@ -23,8 +23,8 @@
 
 NOTICE_FANOUT = 4
 RETRY_S = 0.5
-# The fleet's watches that run out, a second, on the key-value service.
-WATCH_RENEWALS_PER_S = 50.0
+# Limit on expiring watches over the whole fleet, to bound the service's load.
+MAX_WATCH_RENEWALS_PER_S = 50.0
 STOP_TIMEOUT_S = 5.0
 
 OnChange = Callable[[Configuration, Configuration], None]
@@ -32,16 +32,16 @@
 
 @dataclass(frozen=True)
 class StoreLimits:
-    """Times in seconds; see `LimitSettings` and `KeyValueSettings`."""
+    """Timing limits in seconds; see `LimitSettings` and `KeyValueSettings`."""
 
     stale_after_s: float
     watch_timeout_s: float
 
 
 class ConfigurationStore:
-    """Keeps the newest configuration in force.
+    """Follows the newest configuration through the service and the peers.
 
-    `current` is replaced as a whole; take it once for each request.
+    `current` is replaced as a whole; read it once for each request.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._lock = threading.Lock()
         self._change_lock = threading.RLock()
         self._stopping = threading.Event()
-        self._fetch_wanted = threading.Event()
+        self._fetch_requested = threading.Event()
         self._was_fresh = None
         self._last_rejection = ""
         self._threads = [
@@ -75,7 +75,7 @@
             peers,
             lambda: self.current,
             self._entries_after,
-            lambda peer, revision: self.peer_heard(peer, revision, None),
+            lambda peer, revision: self.update_from_peer(peer, revision, None),
         )
 
     def start(self) -> None:
@@ -85,69 +85,71 @@
             thread.start()
 
     def stop(self) -> None:
-        """Stop both threads; one that waits on the service is left behind."""
+        """Stop both threads without waiting for a call to the service to return."""
         self._stopping.set()
-        self._fetch_wanted.set()
+        self._fetch_requested.set()
         if self._threads[1].is_alive():
             self._threads[1].join(STOP_TIMEOUT_S)
 
     def on_change(self, callback: OnChange) -> None:
-        """Have a callback called with the old and new configuration.
+        """Register a callback for the old and new configuration of each change.
 
-        Callbacks run one after the other, in the order of revisions.
+        Callbacks run one at a time, in the order of revisions.
         """
         self.callbacks.append(callback)
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether a withdrawal would have been noticed by now.
+        """Return whether a withdrawn key would have been noticed by now.
 
-        While it is False, requests with a key are refused.
+        Requests with a key are refused while this is False.
         """
         with self._lock:
             return self.policy.is_fresh(now)
 
     def is_ready(self) -> bool:
-        """Return whether serving may start at the configuration in force."""
+        """Return whether serving may start with the configuration in force."""
         peer_count = len(self.peers.members()) - 1
         with self._lock:
             return self.policy.is_ready(peer_count)
 
-    def peer_heard(self, instance: str, revision: int, as_of: float | None) -> None:
-        """Take note of the revision that a peer told."""
+    def update_from_peer(
+        self, instance: str, revision: int, as_of: float | None
+    ) -> None:
+        """Record the revision that a peer reported."""
         with self._lock:
             self.policy.update_from_peer(instance, revision, as_of, self.clock())
-            lacking = self.policy.behind_since is not None
-        if lacking:
-            self._fetch_wanted.set()
+            behind = self.policy.behind_since is not None
+        if behind:
+            self._fetch_requested.set()
 
-    def peer_gone(self, instance: str) -> None:
-        """Drop what a peer told that is gone."""
+    def remove_peer(self, instance: str) -> None:
+        """Remove the reports of a peer that is gone."""
         with self._lock:
             self.policy.remove_peer(instance)
 
-    def note_freshness(self, now: float) -> None:
-        """Record when the configuration becomes stale or fresh again."""
+    def record_freshness(self, now: float) -> None:
+        """Log that the configuration became stale, or fresh again."""
         fresh = self.is_fresh(now)
         if self._was_fresh is None and not fresh:
-            # Not started yet.
+            # Nothing was loaded yet.
             return
         if self._was_fresh not in (None, fresh):
             event = Event.CONFIGURATION_FRESH if fresh else Event.CONFIGURATION_STALE
             self.journal.record(event)
         self._was_fresh = fresh
 
-    # Following the service.
+    # The thread that follows the service.
 
     def _follow_service(self):
-        answered = True
+        reachable = True
         while not self._stopping.is_set():
             try:
                 self._follow_service_once()
-                answered = self._note_answer(answered, True, "")
+                reachable = self._record_reachability(reachable, True, "")
             except KeyValueError as error:
                 with self._lock:
                     self.policy.record_service_failure()
-                answered = self._note_answer(answered, False, error)
+                reachable = self._record_reachability(reachable, False, error)
                 self._stopping.wait(RETRY_S)
             except EntryError as error:
                 self._reject(error)
@@ -171,37 +173,37 @@
             self._load()
             return
         if revision is None:
-            # The service answered no sooner than the watch ran out, and the
-            # answer may have lain in a buffer since.
-            self._service_word(number, min(started + timeout_s, self.clock()))
+            # The response was sent when the watch expired, and may have been
+            # buffered since.
+            self._record_service_contact(number, min(started + timeout_s, self.clock()))
             return
-        self._take_entry(revision, "service")
+        self._apply_revision(revision, "service")
         self._write_snapshot_if_due()
 
     def _load(self):
         started = self.clock()
-        self._take_snapshot(self.log.load(), "service")
+        self._apply_snapshot(self.log.load(), "service")
         with self._lock:
             self.policy.record_service_load(started)
 
-    def _service_word(self, number, as_of):
+    def _record_service_contact(self, number, as_of):
         with self._lock:
             if number == self.policy.current.revision + 1:
                 self.policy.record_service_contact(as_of)
 
     def _watch_timeout_s(self):
-        # Renewals tell that the service still answers. Their number over the
-        # whole fleet is bounded; in a large fleet, peers give that word.
-        fleet_s = len(self.peers.members()) / WATCH_RENEWALS_PER_S
-        often_s = self.limits.stale_after_s / 2
-        return min(self.limits.watch_timeout_s, max(often_s, fleet_s))
-
-    def _note_answer(self, before, now, error):
-        if before and not now:
+        # Renewed watches show that the service still responds. Their rate is
+        # bounded over the fleet; in a large fleet, peers report the contact.
+        fleet_bound_s = len(self.peers.members()) / MAX_WATCH_RENEWALS_PER_S
+        freshness_bound_s = self.limits.stale_after_s / 2
+        return min(self.limits.watch_timeout_s, max(freshness_bound_s, fleet_bound_s))
+
+    def _record_reachability(self, was_reachable, is_reachable, error):
+        if was_reachable and not is_reachable:
             self.journal.record(Event.KEY_VALUE_LOST, error=error)
-        if now and not before:
+        if is_reachable and not was_reachable:
             self.journal.record(Event.KEY_VALUE_RECOVERED)
-        return now
+        return is_reachable
 
     def _reject(self, error):
         with self._lock:
@@ -212,28 +214,29 @@
 
     def _write_snapshot_if_due(self):
         configuration = self.current
-        past = configuration.revision - self.log.snapshot_revision
-        if past < SNAPSHOT_INTERVAL:
+        new_revisions = configuration.revision - self.log.snapshot_revision
+        if new_revisions < SNAPSHOT_INTERVAL:
             return
-        # One instance is enough; if it fails, the next revision has another.
+        # One instance is enough; if it fails, another is chosen at the next
+        # revision.
         names = [member.instance for member in self.peers.members()]
-        turn = str(configuration.revision)
-        if choose_instance(turn, names) != self.journal.instance:
+        hash_key = str(configuration.revision)
+        if choose_instance(hash_key, names) != self.journal.instance:
             return
         if self.log.write_snapshot(configuration):
             self.journal.record(Event.SNAPSHOT_WRITTEN)
 
-    # Following the peers.
+    # The thread that fetches from peers.
 
     def _follow_peers(self):
         while not self._stopping.is_set():
-            self._fetch_wanted.wait()
-            self._fetch_wanted.clear()
-            while not self._stopping.is_set() and self._lacking():
+            self._fetch_requested.wait()
+            self._fetch_requested.clear()
+            while not self._stopping.is_set() and self._is_behind():
                 self._fetch_once()
                 self._stopping.wait(0.1)
 
-    def _lacking(self):
+    def _is_behind(self):
         with self._lock:
             return self.policy.highest_peer_revision() > self.policy.current.revision
 
@@ -247,7 +250,7 @@
         try:
             self._fetch(peer, number, started)
         except (OSError, DroppedError, DecodeError, EntryError):
-            # Another peer, or the service, is tried next.
+            # The next attempt goes to another peer, or to the service.
             return
         except Exception as error:
             self._record_failure("configuration-peers", error)
@@ -255,9 +258,9 @@
     def _fetch(self, peer, number, started):
         content = self.exchange.fetch(peer, number)
         if content.snapshot:
-            self._take_snapshot(decode_configuration(content.snapshot), peer)
+            self._apply_snapshot(decode_configuration(content.snapshot), peer)
         for entry in content.entries:
-            self._take_entry(decode_revision(entry), peer)
+            self._apply_revision(decode_revision(entry), peer)
         with self._lock:
             self.policy.record_peer_load(started)
 
@@ -265,15 +268,15 @@
         with self._lock:
             return self.policy.entries_after(number)
 
-    # Putting revisions in force.
+    # Applying revisions.
 
-    def _take_entry(self, revision, source):
+    def _apply_revision(self, revision, source):
         with self._change_lock:
             with self._lock:
                 change = self.policy.apply_revision(revision)
             self._put_in_force(change, source)
 
-    def _take_snapshot(self, configuration, source):
+    def _apply_snapshot(self, configuration, source):
         with self._change_lock:
             with self._lock:
                 change = self.policy.apply_snapshot(configuration)
@@ -286,14 +289,14 @@
         self.journal.revision = change.new.revision
         self._record(change, source)
         for callback in self.callbacks:
-            self._call(callback, change)
-        self._tell_peers(change.new.revision)
+            self._run_callback(callback, change)
+        self._notify_peers(change.new.revision)
 
-    def _call(self, callback, change):
+    def _run_callback(self, callback, change):
         try:
             callback(change.old, change.new)
         except Exception as error:
-            # The other parts must learn of the change all the same.
+            # The other callbacks must still run.
             self._record_failure("configuration callback", error)
 
     def _record_failure(self, thread, error):
@@ -314,11 +317,11 @@
                 Event.KEY_WITHDRAWN, key_id=key_id, author=change.author
             )
 
-    def _tell_peers(self, revision):
+    def _notify_peers(self, revision):
         names = [member.instance for member in self.peers.members()]
         others = [name for name in names if name != self.journal.instance]
         chosen = self.policy.choose_peers(others, NOTICE_FANOUT)
-        self.exchange.tell(chosen, revision)
+        self.exchange.send_notice(chosen, revision)
 
 
 def create_configuration_store(
@@ -329,6 +332,6 @@
     clock: Callable[[], float],
     seed: int | str,
 ) -> ConfigurationStore:
-    """Return a store for one instance."""
+    """Return the configuration store of one instance."""
     policy = RevisionPolicy(limits.stale_after_s, random.Random(seed))
     return ConfigurationStore(log, peers, policy, limits, journal, clock)
--- a/src/cassiaford/fleet/_departures.py
+++ b/src/cassiaford/fleet/_departures.py
@@ -1,4 +1,4 @@
-"""Finding out which incarnations of instances are certainly gone."""
+"""Detection of instance incarnations that have certainly ended."""
 
 import threading
 from collections.abc import Callable, Sequence
@@ -11,10 +11,10 @@
 
 
 class DepartureWatcher(PeerListener):
-    """Calls back once for each incarnation that is certainly gone.
+    """Calls back once for each incarnation that has certainly ended.
 
-    Callbacks take the instance and the incarnation; they run on the thread
-    that brought the news.
+    Callbacks take the instance and the incarnation, and run on the thread that
+    reported the change.
     """
 
     def __init__(self, list_lag_s: float, clock: Callable[[], float]):
@@ -23,34 +23,38 @@
         self.callbacks: list[OnDeparture] = []
         self._lock = threading.Lock()
 
-    def peer_heard(self, instance, revision, as_of):
-        """Take no note: a change of a member's state says more."""
+    def on_peer_report(self, instance, revision, as_of):
+        """Ignore reports; member state changes carry the needed information."""
 
-    def peer_gone(self, instance):
-        """Take note that a peer is silent or has left."""
+    def on_peer_gone(self, instance):
+        """Record that a peer is silent or has left."""
         with self._lock:
             self.departures.record_silence(instance)
 
-    def member_changed(self, update: MemberUpdate) -> None:
-        """Take note of what is newly believed of a member."""
+    def on_member_changed(self, update: MemberUpdate) -> None:
+        """Record the new state of a member."""
         member = update.member
         with self._lock:
             if update.state is MemberState.LEFT:
-                gone = self.departures.record_leave(member.instance, member.incarnation)
+                departed = self.departures.record_leave(
+                    member.instance, member.incarnation
+                )
             elif update.state is MemberState.ALIVE:
-                gone = self.departures.record_live(member.instance, member.incarnation)
+                departed = self.departures.record_live(
+                    member.instance, member.incarnation
+                )
             else:
-                gone = ()
-        self._report(gone)
+                departed = ()
+        self._run_callbacks(departed)
 
-    def listed(self, records: Sequence[InstanceRecord]) -> None:
-        """Take in an answer of the platform's list."""
+    def apply_listing(self, records: Sequence[InstanceRecord]) -> None:
+        """Apply a response of the platform's instance list."""
         instances = {record.instance for record in records}
         with self._lock:
-            gone = self.departures.record_listing(instances, self.clock())
-        self._report(gone)
+            departed = self.departures.record_listing(instances, self.clock())
+        self._run_callbacks(departed)
 
-    def _report(self, gone: Sequence[Departure]):
-        for departure in gone:
+    def _run_callbacks(self, departed: Sequence[Departure]):
+        for departure in departed:
             for callback in self.callbacks:
                 callback(departure.instance, departure.incarnation)
--- a/src/cassiaford/fleet/_exchange.py
+++ b/src/cassiaford/fleet/_exchange.py
@@ -1,4 +1,4 @@
-"""The messages by which instances tell and give each other configuration."""
+"""The exchange of configuration notices and contents between instances."""
 
 from collections.abc import Callable, Sequence
 
@@ -20,10 +20,10 @@
 
 
 class ConfigurationExchange:
-    """Tells peers of revisions, fetches them and answers such requests.
+    """Notifies peers of revisions, fetches revisions and serves such requests.
 
-    `entries_after` returns what follows a revision, or None if only the whole
-    configuration, which `current` returns, will do.
+    `entries_after` returns the revisions after a number, or None if they are no
+    longer available; the whole configuration that `current` returns is sent then.
     """
 
     def __init__(
@@ -37,22 +37,22 @@
         self.current = current
         self.entries_after = entries_after
         self.on_notice = on_notice
-        self._snapshot_of = -1
+        self._snapshot_revision = -1
         self._snapshot = b""
         peers.subscribe(Channel.CONFIGURATION, self._receive)
-        peers.answer(Channel.CONFIGURATION, self._answer)
+        peers.handle_requests(Channel.CONFIGURATION, self._reply)
 
-    def tell(self, instances: Sequence[str], revision: int) -> None:
-        """Tell some peers which revision is in force here."""
+    def send_notice(self, instances: Sequence[str], revision: int) -> None:
+        """Notify some peers of the revision in force here."""
         body = encode_notice(revision)
         for instance in instances:
             self.peers.send(instance, Channel.CONFIGURATION, body)
 
     def fetch(self, instance: str, after_revision: int) -> ConfigurationContent:
-        """Return what a peer has after a revision.
+        """Fetch a peer's configuration after a revision.
 
-        Raises `OSError`, `DroppedError` or `DecodeError` if there is no usable
-        answer.
+        Raises `OSError`, `DroppedError` or `DecodeError` if there is no valid
+        reply.
         """
         body = encode_request(after_revision)
         reply = self.peers.request(
@@ -67,17 +67,19 @@
             return
         self.on_notice(message.sender, revision)
 
-    def _answer(self, message: PeerMessage) -> bytes:
+    def _reply(self, message: PeerMessage) -> bytes:
         entries = self.entries_after(decode_request(message.body))
         if entries is None:
-            return encode_content(ConfigurationContent(snapshot=self._encoded()))
-        texts = tuple(encode_revision(entry) for entry in entries)
-        return encode_content(ConfigurationContent(entries=texts))
+            return encode_content(
+                ConfigurationContent(snapshot=self._encoded_snapshot())
+            )
+        encoded = tuple(encode_revision(entry) for entry in entries)
+        return encode_content(ConfigurationContent(entries=encoded))
 
-    def _encoded(self):
-        # Many peers may ask for the same snapshot.
+    def _encoded_snapshot(self):
+        # Cached, because many peers may request the same snapshot.
         configuration = self.current()
-        if self._snapshot_of != configuration.revision:
+        if self._snapshot_revision != configuration.revision:
             self._snapshot = encode_configuration(configuration)
-            self._snapshot_of = configuration.revision
+            self._snapshot_revision = configuration.revision
         return self._snapshot
--- a/src/cassiaford/fleet/_fleet.py
+++ b/src/cassiaford/fleet/_fleet.py
@@ -1,15 +1,15 @@
-"""One instance's part in the fleet, put together."""
+"""The fleet as seen by one instance: its sockets, membership and configuration."""
 
 import random
 from collections.abc import Callable
 
+from cassiaford.fleet._authenticator import FrameAuthenticator, Identity
 from cassiaford.fleet._configuration import (
     ConfigurationStore,
     StoreLimits,
     create_configuration_store,
 )
 from cassiaford.fleet._departures import DepartureWatcher, OnDeparture
-from cassiaford.fleet._gate import FrameAuthenticator, Identity
 from cassiaford.fleet._log import ConfigurationLog
 from cassiaford.fleet._membership import (
     FleetTransport,
@@ -24,11 +24,11 @@
 from cassiaford.settings import Settings
 from cassiaford.timeline import Journal
 
-FRESHNESS_CHECK_S = 0.5
+FRESHNESS_CHECK_INTERVAL_S = 0.5
 
 
 class Fleet:
-    """The other instances, as one instance sees them, and what they share."""
+    """The connection of one instance to the other instances of the fleet."""
 
     def __init__(
         self,
@@ -47,21 +47,21 @@
         self.departures = departures
 
     def start(self) -> None:
-        """Begin to exchange messages and to follow the configuration."""
+        """Start exchanging messages and following the configuration."""
         self.sockets.start()
         self.instance_list.start()
         self.configuration.start()
 
     def announce_ready(self) -> None:
-        """Have the lookup name this instance to callers."""
+        """Tell peers that this instance accepts requests, so that lookups return it."""
         self.runner.announce_ready()
 
     def leave(self) -> None:
-        """Have the lookup stop naming this instance to callers."""
+        """Tell peers to stop returning this instance from lookups."""
         self.runner.leave()
 
     def stop(self) -> None:
-        """Tell peers that this instance is gone, and close the sockets."""
+        """Tell peers that this instance has stopped, and close the sockets."""
         if self.sockets.stopped:
             return
         self.instance_list.stop()
@@ -70,7 +70,7 @@
         self.sockets.stop()
 
     def on_departure(self, callback: OnDeparture) -> None:
-        """Have a callback called for each incarnation that is certainly gone."""
+        """Register a callback for each incarnation that has certainly ended."""
         self.departures.callbacks.append(callback)
 
     def members(self) -> tuple[Member, ...]:
@@ -80,7 +80,7 @@
     def entry_instances(self, customer: str, data_centre: str) -> tuple[Member, ...]:
         """Return the members that a customer's callers should use, best first.
 
-        Callers may keep the answer for `ENTRIES_MAX_AGE_S`.
+        Callers may cache the result for `ENTRIES_MAX_AGE_S`.
         """
         leaving = self.instance_list.leaving
         members = [
@@ -93,19 +93,19 @@
 
 
 class _ConfigurationListener(PeerListener):
-    """Passes what peers tell to the configuration, and its revision back."""
+    """Passes peers' revisions to the configuration store, and its own to peers."""
 
     def __init__(self, store: ConfigurationStore, runner: MembershipRunner):
         self.store = store
         store.on_change(lambda old, new: runner.set_revision(new.revision))
 
-    def peer_heard(self, instance, revision, as_of):
-        """Take note of the revision that a peer told."""
-        self.store.peer_heard(instance, revision, as_of)
+    def on_peer_report(self, instance, revision, as_of):
+        """Pass the revision that a peer reported to the store."""
+        self.store.update_from_peer(instance, revision, as_of)
 
-    def peer_gone(self, instance):
-        """Take note that a peer is dead or has left."""
-        self.store.peer_gone(instance)
+    def on_peer_gone(self, instance):
+        """Remove a peer that is dead or has left from the store."""
+        self.store.remove_peer(instance)
 
 
 def create_fleet(
@@ -118,14 +118,14 @@
 ) -> Fleet:
     """Return the fleet as seen by the instance with these settings.
 
-    `instance_list` has a method ``fetch()`` that returns `InstanceRecord`
-    lines; `clock` returns monotonic seconds. The peer sockets are bound at
-    once, so that messages can be sent before `Fleet.start`.
+    `instance_list` has a method ``fetch()`` that returns a sequence of
+    `InstanceRecord`; `clock` returns monotonic seconds. The peer sockets are
+    bound at once, so that messages can be sent before `Fleet.start`.
     """
     secret = settings.peers.secret.get_secret_value().encode()
     identity = Identity(settings.instance, incarnation, secret)
-    gate = FrameAuthenticator(identity, journal.clock)
-    sockets = open_peer_sockets(settings.peers.address, gate, journal)
+    authenticator = FrameAuthenticator(identity, journal.clock)
+    sockets = open_peer_sockets(settings.peers.address, authenticator, journal)
     membership = Membership(
         _own_member(settings, incarnation, sockets.address),
         settings.peers.seeds,
@@ -144,11 +144,13 @@
         seed=f"{settings.instance}/{incarnation}/configuration",
     )
     runner.listeners.append(_ConfigurationListener(store, runner))
-    sockets.every(FRESHNESS_CHECK_S, lambda: store.note_freshness(clock()))
+    sockets.add_timer(
+        FRESHNESS_CHECK_INTERVAL_S, lambda: store.record_freshness(clock())
+    )
     poller = InstanceListPoller(instance_list.fetch, runner, journal)
     departures = DepartureWatcher(settings.key_value.list_lag_s, clock)
     runner.listeners.append(departures)
-    poller.on_answer.append(departures.listed)
+    poller.on_listing.append(departures.apply_listing)
     return Fleet(sockets, runner, transport, store, poller, departures)
 
 
--- a/src/cassiaford/fleet/_log.py
+++ b/src/cassiaford/fleet/_log.py
@@ -1,13 +1,13 @@
 """The log of configuration revisions in the key-value service.
 
 Revision N is the value of the key ``config/log/N``. It is created by
-compare-and-swap on the absent key, so of two racing authors one wins. A
-snapshot holds the whole configuration at some revision, so that old entries
+compare-and-swap on the absent key, so only one of several racing authors wins.
+A snapshot holds the whole configuration at some revision, so that older entries
 can be deleted.
 
-An author that read the log long ago could create an entry again that was
-deleted since. No entry at or below the snapshot's revision counts, therefore,
-and an author looks at the snapshot once more after its write.
+An author that read the log long ago could recreate an entry that has been
+deleted since. Entries at or below the snapshot's revision are therefore
+ignored, and an author checks the snapshot again after its write.
 """
 
 import secrets
@@ -44,12 +44,12 @@
 LOG_PREFIX = "config/log/"
 HEAD_KEY = "config/snapshot/head"
 PARTS_PREFIX = "config/snapshot/parts/"
-# The service holds values up to a megabyte, and they travel as base64 text.
+# The service accepts values up to a megabyte and transfers them as base64.
 PART_BYTES = 512 * 1024
-# A snapshot is written when the log has run this far past the last one.
+# A snapshot is written once this many revisions follow the previous one.
 SNAPSHOT_INTERVAL = 64
-SETTLE_ATTEMPTS = 4
-SETTLE_DELAY_S = 0.25
+MAX_CREATE_ATTEMPTS = 4
+CREATE_RETRY_DELAY_S = 0.25
 NONCE_BYTES = 8
 MAX_LOAD_ATTEMPTS = 5
 
@@ -63,19 +63,21 @@
 
 
 class UnknownOutcomeError(ConfigurationLogError):
-    """It is not known whether a revision was written.
+    """It is unknown whether a revision was written.
 
-    `revision` tells the number and the nonce by which to find out.
+    The number and nonce of `revision` identify it in the log if it was.
     """
 
     def __init__(self, revision: Revision):
-        super().__init__(f"the outcome of revision {revision.number} is not known")
+        super().__init__(
+            f"it is unknown whether revision {revision.number} was written"
+        )
         self.revision = revision
 
 
 @checked_dataclass(frozen=True)
 class SnapshotHead:
-    """Which configuration the snapshot holds, and the keys of its parts."""
+    """The revision of the snapshot and the keys of its parts."""
 
     revision: int = 0
     parts: tuple[str, ...] = ()
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Author:
-    """Who writes revisions: a name, and the sources of nonces and time."""
+    """The author of revisions, with its sources of nonces and time."""
 
     name: str
     nonce: Callable[[], str] = lambda: secrets.token_hex(NONCE_BYTES)
@@ -101,14 +103,14 @@
     ):
         self.key_value = key_value
         self.sleep = sleep
-        # As far as this process has seen.
+        # The newest snapshot that this process has seen.
         self.snapshot_revision = 0
 
     def load(self) -> Configuration:
         """Return the newest configuration.
 
-        Raises `KeyValueError` if the service does not answer and `EntryError`
-        if this release cannot read what is there.
+        Raises `KeyValueError` if the service does not respond and `EntryError`
+        if this release cannot decode the stored values.
         """
         configuration = self.load_snapshot()
         for revision in self.entries_after(configuration.revision):
@@ -122,17 +124,17 @@
             if not head.parts:
                 return EMPTY_CONFIGURATION
             parts = [self.key_value.get(key).value for key in head.parts]
-            # A newer snapshot may have replaced this one in between.
+            # A newer snapshot may have replaced this one in the meantime.
             if None not in parts:
                 return decode_configuration(b"".join(parts))
-        raise EntryError("the snapshot is not complete")
+        raise EntryError("parts of the configuration snapshot are missing")
 
     def head(self) -> SnapshotHead:
-        """Return what the snapshot holds; revision 0 if there is none."""
+        """Return the head of the snapshot; revision 0 if there is none."""
         return self._read_head()[0]
 
     def entries_after(self, number: int) -> tuple[Revision, ...]:
-        """Return the unbroken run of revisions that follows a number."""
+        """Return the revisions after a number, up to the first gap."""
         revisions = []
         for entry in self.key_value.list(LOG_PREFIX):
             if entry.key == log_key(number + 1 + len(revisions)):
@@ -140,22 +142,22 @@
         return tuple(revisions)
 
     def history(self) -> tuple[Revision, ...]:
-        """Return all revisions that the log still holds, oldest first."""
+        """Return all revisions that are still in the log, oldest first."""
         entries = self.key_value.list(LOG_PREFIX)
         return tuple(decode_revision(entry.value) for entry in entries)
 
     def watch(self, number: int, timeout_s: float) -> Revision | None:
         """Return a revision once it is written, or None after the timeout.
 
-        Raises `EntryError` if the revision was deleted long ago, so that the
-        caller must load the snapshot.
+        Raises `EntryError` if the revision is covered by the snapshot, which
+        the caller must load then.
         """
         entry = self.key_value.watch(log_key(number), 0, timeout_s)
         if entry.value is None:
             return None
-        # An author may have brought a deleted entry back to life.
+        # An outdated author may have recreated a deleted entry.
         if self.head().revision >= number:
-            raise EntryError("the entry is older than the snapshot")
+            raise EntryError("the revision is not newer than the snapshot")
         return decode_revision(entry.value)
 
     def append(
@@ -163,9 +165,9 @@
     ) -> Revision:
         """Write the revision that follows a configuration and return it.
 
-        Raises `ChangeError` if the changes do not fit, `LostRaceError` if
+        Raises `ChangeError` if the changes do not apply, `LostRaceError` if
         another author was first, `UnavailableError` if nothing was written,
-        and `UnknownOutcomeError` if that is not known.
+        and `UnknownOutcomeError` if it is unknown whether it was written.
         """
         revision = Revision(
             number=base.revision + 1,
@@ -176,13 +178,13 @@
         )
         apply_changes(base, revision)
         self._create(revision)
-        self._check_not_deleted_before(revision)
+        self._check_newer_than_snapshot(revision)
         return revision
 
     def write_snapshot(self, configuration: Configuration) -> bool:
         """Write a snapshot unless there is a newer one, and trim the log.
 
-        Return whether this call wrote it.
+        Returns whether this call wrote the snapshot.
         """
         head, version = self._read_head()
         if head.revision >= configuration.revision:
@@ -196,7 +198,7 @@
             return False
         self.snapshot_revision = new.revision
         self._delete_older_parts(new)
-        # Followers that are a little behind still find recent entries.
+        # Entries after the previous snapshot stay for followers that are behind.
         self._trim(head.revision)
         return True
 
@@ -207,34 +209,36 @@
         try:
             head = _HEAD.validate_json(entry.value)
         except ValidationError as error:
-            raise EntryError("the snapshot's head cannot be read") from error
+            raise EntryError(
+                "the head of the configuration snapshot is invalid"
+            ) from error
         self.snapshot_revision = max(self.snapshot_revision, head.revision)
         return head, entry.version
 
     def _create(self, revision):
         key, value = log_key(revision.number), encode_revision(revision)
         if len(value) > PART_BYTES:
-            raise ConfigurationLogError("too many changes for one revision")
+            raise ConfigurationLogError("the revision is too large; split the changes")
         maybe_written = False
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(MAX_CREATE_ATTEMPTS):
             try:
-                # Writing again is safe: the key can be created only once, and
-                # the nonce tells whose entry it holds.
+                # Retrying is safe: the key can be created only once, and the
+                # nonce in its value identifies the author.
                 result = self.key_value.compare_and_swap(key, value, 0)
             except OutcomeUnknownError:
                 maybe_written = True
-                self.sleep(SETTLE_DELAY_S)
+                self.sleep(CREATE_RETRY_DELAY_S)
                 continue
             except KeyValueError:
                 if not maybe_written:
                     raise
-                self.sleep(SETTLE_DELAY_S)
+                self.sleep(CREATE_RETRY_DELAY_S)
                 continue
             _check_won(revision, result.swapped, result.entry)
             return
         raise UnknownOutcomeError(revision)
 
-    def _check_not_deleted_before(self, revision):
+    def _check_newer_than_snapshot(self, revision):
         try:
             head = self.head()
         except KeyValueError:
@@ -259,10 +263,10 @@
                 self.key_value.compare_and_swap(entry.key, None, entry.version)
 
     def _delete_older_parts(self, head):
-        # Also those of authors that failed before they wrote the head.
-        first_kept = f"{PARTS_PREFIX}{head.revision:012d}"
+        # Includes parts whose author failed before writing the head.
+        first_retained = f"{PARTS_PREFIX}{head.revision:012d}"
         for entry in self.key_value.list(PARTS_PREFIX):
-            if entry.key < first_kept:
+            if entry.key < first_retained:
                 self.key_value.compare_and_swap(entry.key, None, entry.version)
 
     def _delete(self, keys):
@@ -280,6 +284,6 @@
 def _check_won(revision: Revision, swapped: bool, entry: Entry) -> None:
     if swapped:
         return
-    found = decode_revision(entry.value)
-    if found.nonce != revision.nonce:
-        raise LostRaceError(found)
+    existing = decode_revision(entry.value)
+    if existing.nonce != revision.nonce:
+        raise LostRaceError(existing)
--- a/src/cassiaford/fleet/_membership.py
+++ b/src/cassiaford/fleet/_membership.py
@@ -1,4 +1,4 @@
-"""Runs the membership policy on the peer sockets."""
+"""The membership policy on the peer sockets and the platform's instance list."""
 
 import threading
 from abc import ABC, abstractmethod
@@ -23,28 +23,28 @@
 
 TICKS_PER_PERIOD = 5
 LIST_INTERVAL_S = 10.0
-# Until another instance is known, the list is asked this often.
+# The interval while no other instance is known.
 LIST_SEARCH_INTERVAL_S = 1.0
 STOP_TIMEOUT_S = 2.0
 
 
 class PeerListener(ABC):
-    """What wants to know about peers as they are heard and lost."""
+    """Receives reports from peers and changes of their state."""
 
     @abstractmethod
-    def peer_heard(self, instance: str, revision: int, as_of: float | None) -> None:
-        """Take note of the revision that a peer told; see `PeerHeard`."""
+    def on_peer_report(self, instance: str, revision: int, as_of: float | None) -> None:
+        """Handle the revision that a peer reported; see `PeerContact`."""
 
     @abstractmethod
-    def peer_gone(self, instance: str) -> None:
-        """Take note that a peer is dead or has left."""
+    def on_peer_gone(self, instance: str) -> None:
+        """Handle that a peer is dead or has left."""
 
-    def member_changed(self, update: MemberUpdate) -> None:
-        """Take note of what is newly believed of a member."""
+    def on_member_changed(self, update: MemberUpdate) -> None:
+        """Handle a change of a member's state."""
 
 
 class MembershipRunner:
-    """Keeps the table of members of one instance up to date."""
+    """Runs the membership policy of one instance."""
 
     def __init__(
         self,
@@ -60,9 +60,9 @@
         self.listeners: list[PeerListener] = []
         self._lock = threading.Lock()
         self._reported: dict[str, tuple] = {}
-        self._superseded = 0
+        self._superseded_by = 0
         interval_s = membership.interval_s / TICKS_PER_PERIOD
-        sockets.every(interval_s, self.tick)
+        sockets.add_timer(interval_s, self.tick)
         sockets.handlers[Channel.MEMBERSHIP] = self._receive
 
     def members(self) -> tuple[Member, ...]:
@@ -71,67 +71,69 @@
             return self.membership.members()
 
     def suspected(self) -> frozenset[str]:
-        """Return the names of the members that do not answer at present."""
+        """Return the names of the members that currently do not reply."""
         with self._lock:
             return self.membership.suspected()
 
     def address_of(self, instance: str) -> str | None:
-        """Return the peer address of an instance, also of a dead one."""
+        """Return the peer address of an instance, even of a dead one."""
         with self._lock:
             update = self.membership.table.get(instance)
         return update.member.peer_address if update else None
 
-    def learn(self, records: Sequence[InstanceRecord]) -> None:
-        """Take note of the platform's list."""
+    def add_listed_addresses(self, records: Sequence[InstanceRecord]) -> None:
+        """Add the addresses in a response of the platform's instance list."""
         addresses = tuple(record.peer_address for record in records)
         with self._lock:
             self.membership.add_addresses(addresses)
 
     def set_revision(self, revision: int) -> None:
-        """Tell peers from now on that a revision is in force here."""
+        """Set the revision in force that messages report to peers."""
         with self._lock:
             self.membership.revision = revision
 
     def tick(self) -> None:
-        """Do what is due."""
-        self._act(self.membership.tick)
+        """Perform the actions that are due."""
+        self._run_policy(self.membership.tick)
 
     def announce_ready(self) -> None:
-        """Tell peers that this instance takes requests."""
-        self._act(self.membership.announce_ready)
+        """Tell peers that this instance accepts requests."""
+        self._run_policy(self.membership.announce_ready)
 
     def leave(self) -> None:
-        """Tell peers that this instance takes no new requests."""
-        self._act(self.membership.leave)
+        """Tell peers that this instance accepts no new requests."""
+        self._run_policy(self.membership.leave)
 
     def stop(self) -> None:
-        """Tell peers that this instance is gone."""
-        self._act(self.membership.stop)
+        """Tell peers that this instance has stopped."""
+        self._run_policy(self.membership.stop)
 
     def _receive(self, message: PeerMessage):
         try:
             decoded = decode_membership(message.body)
         except DecodeError:
             return
-        self._act(
+        self._run_policy(
             lambda now: self.membership.receive(message.sender, decoded, now),
         )
 
-    def _act(self, decide):
+    def _run_policy(self, decide):
         with self._lock:
             actions = decide(self.clock())
         for action in actions:
-            self._do(action)
+            self._perform(action)
 
-    def _do(self, action):
+    def _perform(self, action):
         match action:
             case SendMessage():
                 self._send(action)
             case PeerContact():
                 for listener in self.listeners:
-                    listener.peer_heard(action.instance, action.revision, action.as_of)
+                    listener.on_peer_report(
+                        action.instance, action.revision, action.as_of
+                    )
             case MemberChanged(update=update):
-                self._report(update)
+                self._report_change(update)
             case Superseded(incarnation=incarnation):
                 self._report_superseded(incarnation)
 
@@ -141,7 +143,7 @@
             body = encode_membership(action.message)
             self.sockets.send(address, action.instance, Channel.MEMBERSHIP, body)
 
-    def _report(self, update):
+    def _report_change(self, update):
         member = update.member
         event = _event(update)
         reported = (event, member.incarnation)
@@ -154,18 +156,18 @@
         if update.state >= MemberState.DEAD:
             del self._reported[member.instance]
         for listener in self.listeners:
-            listener.member_changed(update)
+            listener.on_member_changed(update)
             if update.state >= MemberState.DEAD:
-                listener.peer_gone(member.instance)
+                listener.on_peer_gone(member.instance)
 
     def _report_superseded(self, incarnation):
-        if incarnation != self._superseded:
-            self._superseded = incarnation
+        if incarnation != self._superseded_by:
+            self._superseded_by = incarnation
             self.journal.record(Event.INSTANCE_SUPERSEDED, newer=incarnation)
 
 
 class InstanceListPoller:
-    """Asks the platform's list where instances may be found."""
+    """Polls the platform's instance list for addresses of instances."""
 
     def __init__(
         self,
@@ -177,38 +179,38 @@
         self.runner = runner
         self.journal = journal
         self.leaving: frozenset[tuple[str, int]] = frozenset()
-        self.on_answer: list[Callable[[Sequence[InstanceRecord]], None]] = []
-        self._answers = True
+        self.on_listing: list[Callable[[Sequence[InstanceRecord]], None]] = []
+        self._reachable = True
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="instance-list", daemon=True
         )
 
     def start(self) -> None:
-        """Start asking."""
+        """Start polling."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         self._stopping.set()
 
     def _run(self):
         while not self._stopping.is_set():
             self._fetch_once()
-            alone = len(self.runner.members()) < 2
-            self._stopping.wait(LIST_SEARCH_INTERVAL_S if alone else LIST_INTERVAL_S)
+            is_alone = len(self.runner.members()) < 2
+            self._stopping.wait(LIST_SEARCH_INTERVAL_S if is_alone else LIST_INTERVAL_S)
 
     def _fetch_once(self):
         try:
             records = self.fetch()
         except Exception as error:
-            if self._answers:
+            if self._reachable:
                 self.journal.record(Event.INSTANCE_LIST_LOST, error=error)
-            self._answers = False
+            self._reachable = False
             return
-        self._answers = True
-        self.runner.learn(records)
-        for callback in self.on_answer:
+        self._reachable = True
+        self.runner.add_listed_addresses(records)
+        for callback in self.on_listing:
             callback(records)
         self.leaving = frozenset(
             (record.instance, record.incarnation)
@@ -218,35 +220,35 @@
 
 
 class FleetTransport(RequestTransport):
-    """Carries messages to members by the addresses that membership knows."""
+    """Carries messages to members, with the addresses from membership."""
 
     def __init__(self, sockets: PeerSockets, runner: MembershipRunner):
         self.sockets = sockets
         self.runner = runner
 
     def send(self, instance, channel, body):
-        """Send a message to a peer; drop it if the peer is not known."""
+        """Send a message to a peer; drop it if the peer is unknown."""
         address = self.runner.address_of(instance)
         if address is not None:
             self.sockets.send(address, instance, channel, body)
 
     def subscribe(self, channel, handler):
-        """Have a handler called, on the peer thread, for each message."""
+        """Register a handler that the peer thread calls for each message."""
         self.sockets.handlers[channel] = handler
 
     def members(self):
         """Return the live members, this instance among them."""
         return self.runner.members()
 
-    def answer(self, channel, answerer):
-        """Have requests on a channel answered, on the peer thread."""
-        self.sockets.answerers[channel] = answerer
+    def handle_requests(self, channel, handler):
+        """Register a handler that the peer thread calls for each request."""
+        self.sockets.request_handlers[channel] = handler
 
     def request(self, instance, channel, body, timeout_s):
-        """Send a request and return the reply; raises `OSError` without one."""
+        """Send a request and return the reply; raises `OSError` if none came."""
         address = self.runner.address_of(instance)
         if address is None:
-            raise OSError(f"no instance named {instance!r}")
+            raise OSError(f"unknown instance {instance!r}")
         return self.sockets.request(address, instance, channel, body, timeout_s)
 
 
--- a/src/cassiaford/fleet/_orders.py
+++ b/src/cassiaford/fleet/_orders.py
@@ -1,4 +1,4 @@
-"""Giving engines the orders to load the weights that the configuration names."""
+"""Orders to engines to load the model versions that the configuration names."""
 
 import secrets
 import threading
@@ -40,13 +40,12 @@
 from cassiaford.timeline import Journal, Subject
 
 TABLE_KEY = "orders/loads"
-# While there is something to order, the table is read this often by its
-# holders, and by the others so that the whole fleet makes no more reads a
-# second than `MAX_READS_PER_S`.
-TICK_S = 0.5
+# While orders are pending, an instance with loads of its own reads the table at
+# each tick; the others less often, to keep the fleet below `MAX_READS_PER_S`.
+TICK_INTERVAL_S = 0.5
 MAX_READS_PER_S = 100.0
-# So many changes of the table are made between two reads of it.
-WRITES_A_TICK = 4
+# Limit on changes of the table between two reads of it.
+MAX_WRITES_PER_TICK = 4
 STOP_TIMEOUT_S = 5.0
 
 _TABLE = TypeAdapter(LoadTable)
@@ -55,8 +54,8 @@
 class OrderRunner(ServedVersions, EngineObserver):
     """Runs an `Orderer` against the key-value service and the engines.
 
-    It stands in the chain of observers to learn what engines have loaded.
-    While no engine differs from the configuration it makes no calls.
+    As one in the chain of observers, it sees which models engines have loaded.
+    It makes no calls while every engine matches the configuration.
     """
 
     def __init__(
@@ -75,22 +74,22 @@
         self.journal = journal
         self.clock = clock
         self.observer: EngineObserver | None = None
-        self.poll_interval_s: Callable[[], float] = lambda: TICK_S
+        self.poll_interval_s: Callable[[], float] = lambda: TICK_INTERVAL_S
         self.configuration: Configuration | None = None
         self.table_version = 0
         self.read_due_at = 0.0
         self.suspended = False
-        self.kept: set[DesiredVersion] = set()
+        self.withheld: set[DesiredVersion] = set()
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="orders", daemon=True)
 
     def start(self) -> None:
-        """Begin to give orders where the configuration asks for them."""
+        """Start sending the orders that the configuration requires."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread, and let another instance take over at once."""
+        """Stop the thread and let another instance take over its loads."""
         self._stopped.set()
         if not self._thread.is_alive():
             return
@@ -102,27 +101,27 @@
         try:
             self._swap(table)
         except KeyValueError:
-            # Others take over once this instance is no longer a member.
+            # Other instances take over once this one is no longer a member.
             return
 
     def is_serving(self, server: str, model: str) -> bool:
-        """Return whether an engine can take requests for a model now."""
-        # Asked for every server at each placement, so without the lock: what
-        # is read is replaced as a whole and never changed.
+        """Return whether an engine can serve requests for a model now."""
+        # Called for every server at each placement, so it takes no lock: the
+        # state that it reads is replaced as a whole and never changed.
         return self.orderer.is_serving(server, model)
 
     def is_current(self, server: str, model: Model) -> bool:
-        """Return whether an engine surely runs just this version of a model."""
+        """Return whether an engine is confirmed to run exactly this version."""
         now = self.clock()
         configuration = self.fleet.configuration.current
-        wanted = configuration.models.get(model.name)
-        if wanted is None or wanted.version != model.version:
+        desired = configuration.models.get(model.name)
+        if desired is None or desired.version != model.version:
             return False
         with self._lock:
             return self.orderer.is_current(server, model.name, model.version, now)
 
     def observe_load(self, server: str, report: LoadReport) -> None:
-        """Learn what an engine has loaded and pass the report on."""
+        """Record which models an engine has loaded and pass the report on."""
         with self._lock:
             self.orderer.record_report(server, dict(report.models), self.clock())
         if self.observer is not None:
@@ -133,13 +132,13 @@
         self.observer.observe_events(server, events)
 
     def forget(self, server: str) -> None:
-        """Drop what is believed of an engine, and pass that on."""
+        """Remove the state of an engine, and pass the call on."""
         with self._lock:
             self.orderer.remove_server(server)
         self.observer.forget(server)
 
     def tick(self) -> None:
-        """Do what is due now."""
+        """Read the table and perform the steps that are due now."""
         self._follow_configuration()
         now = self.clock()
         with self._lock:
@@ -147,14 +146,14 @@
                 return
         if now < self.read_due_at and not self.orderer.own_loads():
             return
-        interval_s = max(TICK_S, len(self.fleet.members()) / MAX_READS_PER_S)
-        self.read_due_at = now + interval_s - TICK_S / 2
+        interval_s = max(TICK_INTERVAL_S, len(self.fleet.members()) / MAX_READS_PER_S)
+        self.read_due_at = now + interval_s - TICK_INTERVAL_S / 2
         try:
             self._read_table()
-            self._read_back()
-            self._act()
+            self._poll_ordered_engines()
+            self._perform_steps()
         except OutcomeUnknownError:
-            # The next read of the table shows whether the write took effect.
+            # The next read of the table will show whether the write took effect.
             return
         except UnavailableError as error:
             if not self.suspended:
@@ -162,7 +161,7 @@
             self.suspended = True
 
     def _run(self):
-        while not self._stopped.wait(TICK_S):
+        while not self._stopped.wait(TICK_INTERVAL_S):
             try:
                 self.tick()
             except Exception as error:
@@ -171,66 +170,66 @@
     def _follow_configuration(self):
         configuration = self.fleet.configuration.current
         with self._lock:
-            # An engine is polled less often the more of them there are.
+            # The poll interval grows with the number of engines.
             self.orderer.report_interval_s = self.poll_interval_s()
             if configuration is not self.configuration:
-                self.orderer.configure(_wants(configuration), self.clock())
+                self.orderer.configure(_desired_versions(configuration), self.clock())
                 self.configuration = configuration
 
     def _read_table(self):
-        began = self.clock()
+        started_at = self.clock()
         entry = self.key_value.get(TABLE_KEY)
-        self._take_entry(entry, began)
+        self._apply_entry(entry, started_at)
         if self.suspended:
             self.journal.record(Event.ORDERS_RESUMED)
         self.suspended = False
 
-    def _take_entry(self, entry: Entry, began: float):
-        table = _decode(entry.value)
+    def _apply_entry(self, entry: Entry, started_at: float):
+        table = _decode_table(entry.value)
         with self._lock:
             self.table_version = entry.version
-            self.orderer.apply_table(table, began)
+            self.orderer.apply_table(table, started_at)
 
-    def _read_back(self):
-        """Ask the engines that this instance has ordered to load."""
+    def _poll_ordered_engines(self):
+        """Poll the engines with loads that this instance ordered."""
         for load in self.orderer.own_loads():
-            self._read_engine(load.server)
+            self._poll_engine(load.server)
 
-    def _read_engine(self, server):
-        known = self.configuration.servers.get(server)
-        if known is None:
+    def _poll_engine(self, server):
+        server_entry = self.configuration.servers.get(server)
+        if server_entry is None:
             return
         try:
-            report = self.control.load(known.address)
+            report = self.control.load(server_entry.address)
         except EngineError:
             return
         with self._lock:
             self.orderer.record_report(server, dict(report.models), self.clock())
 
-    def _act(self):
+    def _perform_steps(self):
         live = [m.instance for m in self.fleet.members() if not m.leaving]
-        self._record_kept(live)
-        for _ in range(WRITES_A_TICK):
+        self._record_withheld(live)
+        for _ in range(MAX_WRITES_PER_TICK):
             with self._lock:
                 actions = self.orderer.step(live, self.clock())
             for action in actions:
                 if isinstance(action, SendOrder):
-                    self._give(action.load)
+                    self._send_order(action.load)
             writes = [a.table for a in actions if isinstance(a, WriteTable)]
             if not writes or not self._swap(writes[0]):
                 return
 
     def _swap(self, table):
-        before, began = self.orderer.table, self.clock()
+        before, started_at = self.orderer.table, self.clock()
         result = self.key_value.compare_and_swap(
             TABLE_KEY, _TABLE.dump_json(table), self.table_version
         )
         if result.swapped:
             self._record_changes(before, table)
-        self._take_entry(result.entry, began)
+        self._apply_entry(result.entry, started_at)
         return result.swapped
 
-    def _give(self, load: Load):
+    def _send_order(self, load: Load):
         server = self.configuration.servers.get(load.server)
         if server is None:
             return
@@ -247,34 +246,34 @@
                 return
             self.orderer.record_order_sent(load, now)
         try:
-            answer = self.control.order(server.address, order)
+            response = self.control.order(server.address, order)
         except EngineError as error:
             self._record(Event.ORDER_NOT_ACCEPTED, load, cause=error)
             return
-        if not answer.accepted:
-            self._record(Event.ORDER_NOT_ACCEPTED, load, cause=answer.reason)
+        if not response.accepted:
+            self._record(Event.ORDER_NOT_ACCEPTED, load, cause=response.reason)
         with self._lock:
-            self.orderer.record_order_reply(load, answer.accepted)
+            self.orderer.record_order_reply(load, response.accepted)
 
     def _record_changes(self, before, after):
-        known = {load.order_id for load in before.loads}
-        left = {load.order_id for load in after.loads}
+        earlier = {load.order_id for load in before.loads}
+        remaining = {load.order_id for load in after.loads}
         for load in after.loads:
-            if load.order_id not in known:
+            if load.order_id not in earlier:
                 self._record(Event.LOAD_ORDERED, load)
         for load in before.loads:
-            if load.order_id not in left:
+            if load.order_id not in remaining:
                 done = self.orderer.is_done(load)
                 self._record(
                     Event.LOAD_FINISHED if done else Event.LOAD_ABANDONED, load
                 )
 
-    def _record_kept(self, live):
+    def _record_withheld(self, live):
         with self._lock:
-            kept = set(self.orderer.withheld(live, self.clock()))
-        for want in kept - self.kept:
-            self._record(Event.LAST_SERVER_KEPT, want)
-        self.kept = kept
+            withheld = set(self.orderer.withheld(live, self.clock()))
+        for desired in withheld - self.withheld:
+            self._record(Event.LAST_SERVER_KEPT, desired)
+        self.withheld = withheld
 
     def _record(self, event, load: Load | DesiredVersion, **details):
         self.journal.record(
@@ -295,7 +294,7 @@
     instance: str,
     clock: Callable[[], float] = time.monotonic,
 ) -> OrderRunner:
-    """Return an instance's part in giving orders, not yet started."""
+    """Return the order runner of an instance, not yet started."""
     limits = OrderLimits(
         settings.loads_at_once,
         settings.lease_s,
@@ -307,7 +306,7 @@
     return OrderRunner(orderer, key_value, control, fleet, journal, clock)
 
 
-def _wants(configuration):
+def _desired_versions(configuration):
     return [
         DesiredVersion(server.name, model.name, model.version, server.checks_fencing)
         for model in configuration.models.values()
@@ -315,10 +314,10 @@
     ]
 
 
-def _decode(value):
+def _decode_table(value):
     if value is None:
         return LoadTable()
     try:
         return _TABLE.validate_json(value)
     except ValidationError as error:
-        raise UnavailableError("the table of loads cannot be read") from error
+        raise UnavailableError("the table of loads cannot be decoded") from error
--- a/src/cassiaford/fleet/_rates.py
+++ b/src/cassiaford/fleet/_rates.py
@@ -1,4 +1,4 @@
-"""Customers' rates and bursts over the whole fleet."""
+"""Fleet-wide enforcement of customers' rates and bursts."""
 
 import threading
 import time
@@ -21,18 +21,18 @@
 from cassiaford.verdict import Refusal, RefusalReason, refuse
 
 LEDGER_KEY = "rates/ledger"
-TICK_S = 0.05
-# The longest time that a charge waits for tokens from other instances.
+TICK_INTERVAL_S = 0.05
+# A charge waits at most this long for tokens from other instances.
 MAX_CHARGE_WAIT_S = 0.3
 WATCH_TIMEOUT_S = 30.0
 RETRY_S = 0.5
 
 
 class RateLimiter(Limiter):
-    """Holds customers to their limits with shares that follow demand.
+    """Enforces customers' limits with rate shares that follow demand.
 
-    One thread keeps time, one reads and writes the ledger when there is cause,
-    one watches it, and messages come in on the thread of the transport.
+    One thread ticks, one synchronizes the ledger on request and one watches it;
+    messages arrive on the thread of the transport.
     """
 
     def __init__(
@@ -48,11 +48,11 @@
         self.transport = transport
         self.journal = journal
         self.clock = clock
-        self.book = RateShares(instance, incarnation, clock())
+        self.rate_shares = RateShares(instance, incarnation, clock())
         self.undecoded = 0
         self._condition = threading.Condition()
         self._stopped = threading.Event()
-        self._kick = threading.Event()
+        self._sync_requested = threading.Event()
         self._was_suspended = False
         self._threads = [
             threading.Thread(target=self._tick_loop, name="rates-tick", daemon=True),
@@ -63,30 +63,30 @@
         ]
 
     def charge(self, customer: Customer, tokens: int) -> Refusal | None:
-        """Charge tokens, or return why the request is refused.
+        """Charge tokens; return a refusal if the request exceeds the limits.
 
-        Waits at most `CHARGE_WAIT_S`, and only if other instances are thought
-        to have the tokens that this one lacks.
+        Waits at most `MAX_CHARGE_WAIT_S`, and only if other instances may lend
+        the tokens that this one lacks.
         """
         if tokens > customer.burst:
             return refuse(
                 RefusalReason.OVER_BURST,
-                f"the request counts {tokens} tokens, more than the whole burst"
-                f" of {customer.burst:g}",
+                f"the request counts {tokens} tokens, more than the customer's"
+                f" burst of {customer.burst:g}",
             )
         deadline = self.clock() + MAX_CHARGE_WAIT_S
         with self._condition:
-            while not self.book.charge(customer.name, tokens, self.clock()):
-                left = deadline - self.clock()
-                if left <= 0 or not self._may_get(customer.name, tokens):
+            while not self.rate_shares.charge(customer.name, tokens, self.clock()):
+                remaining_s = deadline - self.clock()
+                if remaining_s <= 0 or not self._may_receive(customer.name, tokens):
                     return self._refuse(customer.name, tokens)
-                self._condition.wait(left)
+                self._condition.wait(remaining_s)
         return None
 
     def refund(self, customer_name: str, tokens: int) -> None:
-        """Give back tokens that were not used; negative ones are a debt."""
+        """Refund unused tokens; a negative amount is a debt."""
         with self._condition:
-            self.book.refund(customer_name, tokens, self.clock())
+            self.rate_shares.refund(customer_name, tokens, self.clock())
             self._condition.notify_all()
 
     def configure(self, configuration: Configuration) -> None:
@@ -96,66 +96,67 @@
             for customer in configuration.customers.values()
         }
         with self._condition:
-            self.book.configure(limits, self.clock())
+            self.rate_shares.configure(limits, self.clock())
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Take note that an incarnation, and any before it, is certainly gone.
+        """Record that an incarnation, and any before it, has certainly ended.
 
-        Certain is what a goodbye, a later incarnation of the same instance,
-        or the platform's list after its lag says; silence is not.
+        It is certain after a leave message, a later incarnation of the same
+        instance, or its absence from the platform's list for the list's lag,
+        but not after mere silence.
         """
         with self._condition:
-            self.book.mark_gone(instance, incarnation)
-        self._kick.set()
+            self.rate_shares.mark_gone(instance, incarnation)
+        self._sync_requested.set()
 
     def is_connected(self) -> bool:
-        """Return whether shares can be borrowed from all that hold some."""
+        """Return whether all owners of shares can be reached for loans."""
         with self._condition:
-            return self.book.is_connected()
+            return self.rate_shares.is_connected()
 
     def start(self) -> None:
-        """Read the ledger if the service answers, and begin to take part."""
+        """Read the ledger if the service is up, and start sharing rates."""
         self.transport.subscribe(Channel.RATES, self._on_message)
         self._sync_ledger()
         for thread in self._threads:
             thread.start()
 
     def leave(self) -> None:
-        """Give up every share at a planned stop, so that others take over."""
+        """Release all shares at a planned stop, so that others take them over."""
         with self._condition:
-            self.book.leave(self.clock())
+            self.rate_shares.leave(self.clock())
         self._sync_ledger()
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop the threads."""
         self._stopped.set()
-        self._kick.set()
+        self._sync_requested.set()
         for thread in self._threads:
             if thread.is_alive():
                 thread.join(RETRY_S)
 
-    def _may_get(self, customer, tokens):
-        """Return whether tokens may still come, having asked for them."""
+    def _may_receive(self, customer, tokens):
+        """Request tokens from other instances; return whether some may come."""
         now = self.clock()
-        if not self.book.awaits_reply(customer, now):
-            self._send(self.book.request_loans(customer, tokens, now))
-        return self.book.awaits_reply(customer, now)
+        if not self.rate_shares.awaits_reply(customer, now):
+            self._send(self.rate_shares.request_loans(customer, tokens, now))
+        return self.rate_shares.awaits_reply(customer, now)
 
     def _refuse(self, customer, tokens):
-        wait_s = self.book.retry_after(customer, tokens, self.clock())
-        if self.book.is_connected():
+        wait_s = self.rate_shares.retry_after(customer, tokens, self.clock())
+        if self.rate_shares.is_connected():
             text = (
-                f"the customer's rate is used up; {tokens} tokens will be there"
+                f"the customer's rate is used up; {tokens} tokens will be available"
                 f" in {wait_s:.2f} s"
             )
         else:
             text = (
-                "this instance has no more of the customer's rate, and not all"
-                " instances that share it answer; ask another instance"
+                "this instance's share of the customer's rate is used up, and not"
+                " all instances that share it reply; ask another instance"
             )
         return refuse(RefusalReason.RATE_LIMITED, text, wait_s)
 
-    # Peers and time.
+    # Peer messages and ticks.
 
     def _on_message(self, received: PeerMessage):
         try:
@@ -168,21 +169,21 @@
             return
         sender = Holder(received.sender, received.sender_incarnation)
         with self._condition:
-            before = self.book.ledger.epoch
-            self.book.mark_gone(sender.instance, sender.incarnation - 1)
-            self._send(self.book.receive(sender, message, self.clock()))
+            before = self.rate_shares.ledger.epoch
+            self.rate_shares.mark_gone(sender.instance, sender.incarnation - 1)
+            self._send(self.rate_shares.receive(sender, message, self.clock()))
             self._condition.notify_all()
-            changed = self.book.ledger.epoch != before
+            changed = self.rate_shares.ledger.epoch != before
         if changed:
-            self._kick.set()
+            self._sync_requested.set()
 
-    def _send(self, sends):
-        for item in sends:
+    def _send(self, messages):
+        for item in messages:
             body = encode_message(item.message)
             self.transport.send(item.instance, Channel.RATES, body)
 
     def _tick_loop(self):
-        while not self._stopped.wait(TICK_S):
+        while not self._stopped.wait(TICK_INTERVAL_S):
             try:
                 self._tick()
             except Exception as error:
@@ -193,26 +194,26 @@
         names = [member.instance for member in members]
         with self._condition:
             for member in members:
-                self.book.mark_gone(member.instance, member.incarnation - 1)
-            self._send(self.book.tick(self.clock(), names))
-            suspended = self.book.suspended
+                self.rate_shares.mark_gone(member.instance, member.incarnation - 1)
+            self._send(self.rate_shares.tick(self.clock(), names))
+            suspended = self.rate_shares.suspended
         if suspended != self._was_suspended:
             self._was_suspended = suspended
             event = Event.SHARES_SUSPENDED if suspended else Event.SHARES_RESUMED
             self.journal.record(event)
-            self._kick.set()
+            self._sync_requested.set()
 
     # The ledger.
 
     def _ledger_loop(self):
         while not self._stopped.is_set():
-            self._kick.clear()
+            self._sync_requested.clear()
             try:
                 synced = self._sync_ledger()
             except Exception as error:
                 self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
                 synced = False
-            self._kick.wait(None if synced else RETRY_S)
+            self._sync_requested.wait(None if synced else RETRY_S)
 
     def _watch_loop(self):
         version = -1
@@ -224,43 +225,45 @@
                 continue
             if entry.version != version:
                 version = entry.version
-                self._kick.set()
+                self._sync_requested.set()
             else:
-                # A watch may end early; it must not become a busy loop.
-                self._stopped.wait(TICK_S)
+                # A watch may end early; avoid a busy loop.
+                self._stopped.wait(TICK_INTERVAL_S)
 
     def _sync_ledger(self):
-        """Read the ledger and write what should change; return whether it is so."""
+        """Read the ledger and write needed changes; return whether it is current."""
         try:
             while not self._stopped.is_set():
                 read_at = self.clock()
                 entry = self.key_value.get(LEDGER_KEY)
-                wanted = self._take(entry, read_at)
-                if wanted is None:
+                next_ledger = self._apply_ledger(entry, read_at)
+                if next_ledger is None:
                     return True
-                self._write(wanted, entry.version)
+                self._write(next_ledger, entry.version)
         except KeyValueError:
-            # A write may have taken effect all the same: reading tells.
+            # A write may still have taken effect; the next read will show.
             return False
         return True
 
-    def _take(self, entry, read_at):
-        """Take in the ledger and return the one that should follow, if any."""
+    def _apply_ledger(self, entry, read_at):
+        """Apply the ledger; return the one to write next, if any."""
         ledger = decode_ledger(entry.value)
         with self._condition:
-            self.book.apply_service_ledger(ledger, read_at, self.clock())
-            wanted = self.book.next_ledger()
-        # A peer may have told of a later ledger than this reading showed.
-        if wanted is not None and wanted.epoch != ledger.epoch + 1:
+            self.rate_shares.apply_service_ledger(ledger, read_at, self.clock())
+            next_ledger = self.rate_shares.next_ledger()
+        # A peer may have reported a later ledger than the one read here.
+        if next_ledger is not None and next_ledger.epoch != ledger.epoch + 1:
             return None
-        return wanted
+        return next_ledger
 
-    def _write(self, wanted, version):
-        value = encode_ledger(wanted)
+    def _write(self, next_ledger, version):
+        value = encode_ledger(next_ledger)
         result = self.key_value.compare_and_swap(LEDGER_KEY, value, version)
         if result.swapped:
             self.journal.record(
-                Event.LEDGER_WRITTEN, epoch=wanted.epoch, holders=len(wanted.holders)
+                Event.LEDGER_WRITTEN,
+                epoch=next_ledger.epoch,
+                holders=len(next_ledger.holders),
             )
 
 
@@ -272,5 +275,5 @@
     incarnation: int,
     clock: Callable[[], float] = time.monotonic,
 ) -> RateLimiter:
-    """Return the rate limiter of an instance; `clock` is in monotonic seconds."""
+    """Return the rate limiter of an instance; `clock` returns monotonic seconds."""
     return RateLimiter(key_value, transport, journal, instance, incarnation, clock)
--- a/src/cassiaford/fleet/_rates_codec.py
+++ b/src/cassiaford/fleet/_rates_codec.py
@@ -1,4 +1,4 @@
-"""The form of share messages between peers, and of the ledger that is kept."""
+"""The encoding of share messages between peers and of the stored ledger."""
 
 import math
 
@@ -20,11 +20,11 @@
 
 
 class ShareCodecError(ValueError):
-    """A message or ledger that cannot be understood."""
+    """A message or ledger that cannot be decoded."""
 
 
 def encode_message(message: ShareMessage) -> bytes:
-    """Return the body of a message to a peer."""
+    """Encode a share message."""
     builder = _schema.ShareMessage.new_message()
     match message:
         case LoanRequest():
@@ -50,7 +50,7 @@
 
 
 def decode_message(body: bytes) -> ShareMessage:
-    """Return the message in a body; raises `ShareCodecError`."""
+    """Decode a share message; raises `ShareCodecError`."""
     try:
         reader = _schema.ShareMessage.from_bytes_packed(body)
         return _message(reader)
@@ -59,14 +59,17 @@
 
 
 def encode_ledger(ledger: Ledger) -> bytes:
-    """Return the value of the ledger in the key-value service."""
+    """Encode the ledger for the key-value service."""
     builder = _schema.Ledger.new_message()
     _fill_ledger(builder, ledger)
     return builder.to_bytes_packed()
 
 
 def decode_ledger(value: bytes | None) -> Ledger:
-    """Return the ledger in a value; raises `ShareCodecError`."""
+    """Decode the ledger; raises `ShareCodecError`.
+
+    An absent value is an empty ledger.
+    """
     if not value:
         return Ledger()
     try:
@@ -109,7 +112,7 @@
             ledger = _ledger(report.ledger) if report.ledger.epoch else None
             return LedgerReport(report.number, report.epoch, report.sure, ledger)
         case other:
-            raise ShareCodecError(f"unknown message {other}")
+            raise ShareCodecError(f"unknown share message {other}")
 
 
 def _ask(ask):
@@ -127,5 +130,5 @@
 
 def _amount(value):
     if not math.isfinite(value) or value < 0:
-        raise ShareCodecError(f"not a number of tokens: {value}")
+        raise ShareCodecError(f"invalid number of tokens: {value}")
     return value
--- a/src/cassiaford/fleet/_sent_prompts.py
+++ b/src/cassiaford/fleet/_sent_prompts.py
@@ -1,7 +1,7 @@
-"""Telling peers of long prompts before any load report can.
+"""Announcements of long prompts to peers, ahead of load reports.
 
-Reports of a backend server are up to a poll old. Two instances that each send
-it a long prompt within that time would both take it to be idle.
+A load report of a backend server is up to one poll interval old. Two instances
+that each sent it a long prompt within that time would both assume it idle.
 """
 
 from collections.abc import Callable
@@ -13,19 +13,19 @@
 from cassiaford.logs import Event
 from cassiaford.timeline import Journal
 
-# A tenth of a second of an engine's work at the speed first assumed of it.
+# About 0.1 s of prefill at the initially assumed prefill speed.
 MIN_REPORTED_TOKENS = 2048
-# Telling every peer costs messages by the square of the fleet; larger fleets
-# go by reports alone (docs/CAPACITY.md).
-MAX_TOLD_PEERS = 32
+# Messages grow with the square of the fleet's size; larger fleets rely on load
+# reports alone (docs/CAPACITY.md).
+MAX_BROADCAST_PEERS = 32
 
 _schema = load_schema(__file__, "load.capnp")
 
 
 class SentPromptExchange:
-    """Tells peers which servers got long prompts, and passes on what they tell.
+    """Announces long prompts to peers, and passes on their announcements.
 
-    A lost message leaves what reports say, so none is sent twice.
+    Messages are not repeated: load reports make up for a lost one.
     """
 
     def __init__(self, transport: PeerTransport, journal: Journal, instance: str):
@@ -35,14 +35,14 @@
         self.on_peer_prompt: Callable[[str, int], None] = lambda server, tokens: None
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start receiving announcements."""
         self.transport.subscribe(Channel.LOAD, self._on_message)
 
     def broadcast(self, server: str, tokens: int) -> None:
-        """Tell peers of a prompt with so many tokens to compute, if it is long."""
+        """Announce a prompt that needs prefill of `tokens`, if it is long."""
         if tokens < MIN_REPORTED_TOKENS:
             return
-        if len(self.transport.members()) > MAX_TOLD_PEERS:
+        if len(self.transport.members()) > MAX_BROADCAST_PEERS:
             return
         body = encode_sent_prompt(server, tokens)
         self.transport.send_to_peers(self.instance, Channel.LOAD, body)
@@ -59,13 +59,16 @@
 
 
 def encode_sent_prompt(server: str, tokens: int) -> bytes:
-    """Return the body that tells of one prompt."""
+    """Encode the announcement of one prompt."""
     return _schema.SentPrompt.new_message(
         server=server, tokens=tokens
     ).to_bytes_packed()
 
 
 def decode_sent_prompt(body: bytes) -> tuple[str, int]:
-    """Return the server and the tokens in a body; raises what the codec raises."""
+    """Decode an announcement to the server and the tokens.
+
+    Raises `capnp.KjException` or `ValueError` if it is malformed.
+    """
     prompt = _schema.SentPrompt.from_bytes_packed(body)
     return prompt.server, prompt.tokens
--- a/src/cassiaford/fleet/_stream.py
+++ b/src/cassiaford/fleet/_stream.py
@@ -1,4 +1,4 @@
-"""One request and one reply over TCP, each as a length and a frame."""
+"""Request and reply over a TCP connection, each a length-prefixed frame."""
 
 import selectors
 import socket
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-LENGTH = struct.Struct("!I")
+LENGTH_PREFIX = struct.Struct("!I")
 MAX_REQUEST_BYTES = 64 * 1024
 MAX_REPLY_BYTES = 64 * 1024 * 1024
 MAX_CONNECTIONS = 64
@@ -15,18 +15,20 @@
 
 
 class StreamError(OSError):
-    """A request between instances over TCP that was not answered."""
+    """A request over TCP that got no valid reply."""
 
 
 def call(address: tuple[str, int], frame: bytes, timeout_s: float) -> bytes:
-    """Send a frame and return the frame that answers it.
+    """Send a request frame and return the reply frame.
 
-    Raises `OSError` if no answer came within the timeout.
+    Raises `OSError` if no reply came within the timeout.
     """
     deadline = time.monotonic() + timeout_s
     with socket.create_connection(address, timeout_s) as connection:
-        connection.sendall(LENGTH.pack(len(frame)) + frame)
-        (length,) = LENGTH.unpack(_read(connection, LENGTH.size, deadline))
+        connection.sendall(LENGTH_PREFIX.pack(len(frame)) + frame)
+        (length,) = LENGTH_PREFIX.unpack(
+            _read(connection, LENGTH_PREFIX.size, deadline)
+        )
         if length > MAX_REPLY_BYTES:
             raise StreamError("reply too large")
         return _read(connection, length, deadline)
@@ -35,34 +37,34 @@
 def _read(connection, count, deadline):
     received = bytearray()
     while len(received) < count:
-        left_s = deadline - time.monotonic()
-        if left_s <= 0:
-            raise TimeoutError("no reply in time")
-        connection.settimeout(left_s)
-        part = connection.recv(min(RECEIVE_BYTES, count - len(received)))
-        if not part:
+        remaining_s = deadline - time.monotonic()
+        if remaining_s <= 0:
+            raise TimeoutError("no reply within the timeout")
+        connection.settimeout(remaining_s)
+        chunk = connection.recv(min(RECEIVE_BYTES, count - len(received)))
+        if not chunk:
             raise StreamError("connection closed before the reply")
-        received += part
+        received += chunk
     return bytes(received)
 
 
 class ReplyServer:
-    """Answers requests in the loop of a selector, without blocking it."""
+    """Replies to requests in a selector loop without blocking it."""
 
     def __init__(
         self,
         listener: socket.socket,
         selector: selectors.BaseSelector,
-        answer: Callable[[bytes], bytes | None],
+        handle_request: Callable[[bytes], bytes | None],
     ):
         self.listener = listener
         self.selector = selector
-        self.answer = answer
+        self.handle_request = handle_request
         self.connections: set[_Connection] = set()
         selector.register(listener, selectors.EVENT_READ, self._accept)
 
     def expire(self, now: float) -> None:
-        """Close the connections whose time is up."""
+        """Close the connections whose deadline has passed."""
         for connection in [c for c in self.connections if c.deadline <= now]:
             connection.close()
 
@@ -86,7 +88,7 @@
 
 
 class _Connection:
-    """A connection that brings one request and takes one reply."""
+    """An accepted connection with one request and one reply."""
 
     def __init__(self, connection, server):
         self.socket = connection
@@ -114,24 +116,24 @@
             self.close()
 
     def _read(self):
-        part = self.socket.recv(RECEIVE_BYTES)
-        if not part:
+        chunk = self.socket.recv(RECEIVE_BYTES)
+        if not chunk:
             raise StreamError("connection closed before the request")
-        self.received += part
+        self.received += chunk
         if len(self.received) > MAX_REQUEST_BYTES:
             raise StreamError("request too large")
-        if len(self.received) < LENGTH.size:
+        if len(self.received) < LENGTH_PREFIX.size:
             return
-        (length,) = LENGTH.unpack_from(self.received)
-        frame = self.received[LENGTH.size :]
+        (length,) = LENGTH_PREFIX.unpack_from(self.received)
+        frame = self.received[LENGTH_PREFIX.size :]
         if len(frame) >= length:
-            self._answer(bytes(frame[:length]))
+            self._send_reply(bytes(frame[:length]))
 
-    def _answer(self, frame):
-        reply = self.server.answer(frame)
+    def _send_reply(self, frame):
+        reply = self.server.handle_request(frame)
         if reply is None:
-            raise StreamError("request dropped")
-        self.reply = memoryview(LENGTH.pack(len(reply)) + reply)
+            raise StreamError("request rejected")
+        self.reply = memoryview(LENGTH_PREFIX.pack(len(reply)) + reply)
         self.server.selector.modify(self.socket, selectors.EVENT_WRITE, self._on_event)
 
     def _write(self):
--- a/src/cassiaford/fleet/_suspects.py
+++ b/src/cassiaford/fleet/_suspects.py
@@ -1,4 +1,4 @@
-"""Sharing between instances which requests crash servers."""
+"""Exchange of crash reports, to find the requests that crash servers."""
 
 import threading
 import time
@@ -19,17 +19,17 @@
 )
 from cassiaford.timeline import Journal, Subject
 
-# A message may be lost, so each is sent again after these delays.
-REPEAT_AFTER_S = (0.2, 1.0, 5.0)
-TICK_S = 0.1
-# One message holds so many fingerprints, to stay small enough for a datagram.
-FINGERPRINTS_A_MESSAGE = 16
+# Messages may be lost, so each is repeated after these delays.
+REPEAT_DELAYS_S = (0.2, 1.0, 5.0)
+TICK_INTERVAL_S = 0.1
+# Keeps a message small enough for a datagram.
+MAX_FINGERPRINTS_PER_MESSAGE = 16
 
 _schema = load_schema(__file__, "suspects.capnp")
 
 
 class SuspectRegistry:
-    """The requests that may crash servers, as the whole fleet knows them."""
+    """The requests that may crash servers, as reported by the whole fleet."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
         self.journal = journal
         self.instance = instance
         self.clock = clock
-        self.book = SuspectTracker()
+        self.tracker = SuspectTracker()
         self.undecoded = 0
-        self._heard = False
+        self._has_received = False
         self._repeats = []
         self._crash_number = 0
         self._lock = threading.Lock()
@@ -52,82 +52,82 @@
         self._thread = threading.Thread(target=self._run, name="suspects", daemon=True)
 
     def has_suspects(self) -> bool:
-        """Return whether any request is under suspicion."""
-        return bool(self.book.suspicions)
+        """Return whether any request is suspected."""
+        return bool(self.tracker.suspicions)
 
     def instances(self) -> tuple[str, ...]:
-        """Return the names of the instances that are believed to run."""
+        """Return the names of the instances that are assumed to be live."""
         return tuple(member.instance for member in self.transport.members())
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Return whether a request has been present at two crashes."""
+        """Return whether a request was running at two crashes."""
         with self._lock:
-            return self.book.is_refused(fingerprint, self.clock())
+            return self.tracker.is_refused(fingerprint, self.clock())
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a request should not run beside another suspect."""
+        """Return whether a request must not share a server with other suspects."""
         with self._lock:
-            return self.book.is_suspect(fingerprint, self.clock())
+            return self.tracker.is_suspect(fingerprint, self.clock())
 
     def record_crash(
         self, server: str, fingerprints: tuple[str, ...], incarnation: str = ""
     ) -> None:
-        """Report the requests that were running on a server that crashed.
+        """Record the requests that were running on a crashed server.
 
-        `incarnation` is the one that crashed. Without it, a request that two
-        instances had running there is counted twice.
+        `incarnation` is that of the crashed server. Without it, a request that
+        two instances had running there is counted twice.
         """
         with self._lock:
             self._crash_number += 1
-            own_name = f"{self.instance}/{self._crash_number}"
-            crash = Crash(server, incarnation or own_name)
-            self.book.record_crash(crash, fingerprints, self.clock())
+            unique_name = f"{self.instance}/{self._crash_number}"
+            crash = Crash(server, incarnation or unique_name)
+            self.tracker.record_crash(crash, fingerprints, self.clock())
         self.journal.record(
             Event.SERVER_CRASH_REPORTED,
             Subject(server=server),
             requests=len(fingerprints),
         )
-        self._spread(_split(CrashReport(crash, fingerprints)))
+        self._broadcast(_split(CrashReport(crash, fingerprints)))
 
     def record_completion(self, fingerprint: str) -> None:
-        """Clear a request that has run to its end."""
+        """Clear a request that has completed."""
         with self._lock:
-            cleared = self.book.record_completion(fingerprint, self.clock())
+            cleared = self.tracker.record_completion(fingerprint, self.clock())
         if cleared is not None:
-            self._spread([cleared])
+            self._broadcast([cleared])
 
     def start(self) -> None:
-        """Begin to take part, and ask peers for what they know."""
+        """Start exchanging reports, and request those of peers."""
         self.transport.subscribe(Channel.SUSPECTS, self._on_message)
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._stopped.set()
         if self._thread.is_alive():
             self._thread.join(1.0)
 
-    def _spread(self, messages):
+    def _broadcast(self, messages):
         now = self.clock()
         for message in messages:
             body = encode_suspect_message(message)
-            self._send_all(body)
+            self._send_to_peers(body)
             with self._lock:
-                self._repeats.extend((now + delay, body) for delay in REPEAT_AFTER_S)
+                self._repeats.extend((now + delay, body) for delay in REPEAT_DELAYS_S)
 
-    def _send_all(self, body):
+    def _send_to_peers(self, body):
         self.transport.send_to_peers(self.instance, Channel.SUSPECTS, body)
 
     def _run(self):
-        asked_at = -1.0
-        while not self._stopped.wait(TICK_S):
+        requested_at = -1.0
+        while not self._stopped.wait(TICK_INTERVAL_S):
             try:
                 now = self.clock()
                 for body in self._due(now):
-                    self._send_all(body)
-                if not self._heard and now >= asked_at + 1.0:
-                    asked_at = now
-                    self._send_all(encode_suspect_message(SuspicionRequest()))
+                    self._send_to_peers(body)
+                if not self._has_received and now >= requested_at + 1.0:
+                    requested_at = now
+                    self._send_to_peers(encode_suspect_message(SuspicionRequest()))
             except Exception as error:
                 self.journal.record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
 
@@ -147,21 +147,21 @@
             )
             return
         if isinstance(message, SuspicionRequest):
-            self._tell_all(received.sender)
+            self._send_known_crashes(received.sender)
             return
         with self._lock:
             if isinstance(message, CrashReport):
-                self.book.record_crash(
+                self.tracker.record_crash(
                     message.crash, message.fingerprints, self.clock()
                 )
             else:
-                self.book.clear(message)
-        self._heard = True
+                self.tracker.clear(message)
+        self._has_received = True
 
-    def _tell_all(self, instance):
+    def _send_known_crashes(self, instance):
         with self._lock:
-            reports = self.book.crash_reports()
-        # An empty clearance says that there is nothing to tell.
+            reports = self.tracker.crash_reports()
+        # An empty clearance is the reply if there are no reports.
         messages = [part for report in reports for part in _split(report)]
         for message in messages or [ClearedFingerprint("", ())]:
             body = encode_suspect_message(message)
@@ -174,12 +174,15 @@
     instance: str,
     clock: Callable[[], float] = time.monotonic,
 ) -> SuspectRegistry:
-    """Return the suspects of an instance; `clock` is in monotonic seconds."""
+    """Return the suspect registry of an instance.
+
+    `clock` returns monotonic seconds.
+    """
     return SuspectRegistry(transport, journal, instance, clock)
 
 
 def encode_suspect_message(message: SuspectMessage) -> bytes:
-    """Return the body of a message to a peer."""
+    """Encode a suspect message."""
     builder = _schema.SuspectMessage.new_message()
     match message:
         case CrashReport():
@@ -198,7 +201,10 @@
 
 
 def decode_suspect_message(body: bytes) -> SuspectMessage:
-    """Return the message in a body; raises what the codec raises."""
+    """Decode a suspect message.
+
+    Raises `capnp.KjException` or `ValueError` if it is malformed.
+    """
     reader = _schema.SuspectMessage.from_bytes_packed(body)
     match reader.which():
         case "report":
@@ -212,11 +218,11 @@
         case "wanted":
             return SuspicionRequest()
         case other:
-            raise ValueError(f"unknown message {other}")
+            raise ValueError(f"unknown suspect message {other}")
 
 
 def _split(report):
-    size = FINGERPRINTS_A_MESSAGE
+    size = MAX_FINGERPRINTS_PER_MESSAGE
     parts = range(0, len(report.fingerprints), size)
     return [CrashReport(report.crash, report.fingerprints[i : i + size]) for i in parts]
 
--- a/src/cassiaford/fleet/_transport.py
+++ b/src/cassiaford/fleet/_transport.py
@@ -1,4 +1,4 @@
-"""What the parts of an instance ask of the connection to its peers."""
+"""The interface for messages between an instance and its peers."""
 
 import enum
 from abc import ABC, abstractmethod
@@ -9,7 +9,7 @@
 
 
 class Channel(enum.Enum):
-    """The part of an instance that a message between peers is for."""
+    """The subsystem that a message between peers is for."""
 
     MEMBERSHIP = 1
     CONFIGURATION = 2
@@ -32,45 +32,45 @@
 class PeerTransport(ABC):
     """Carries messages between instances.
 
-    Messages may be lost, doubled, delayed and reordered; each channel must
-    cope with that by itself.
+    Messages may be lost, duplicated, delayed and reordered; the users of each
+    channel must handle that.
     """
 
     @abstractmethod
     def send(self, instance: str, channel: Channel, body: bytes) -> None:
-        """Send a message to a peer; drop it if the peer is not known."""
+        """Send a message to a peer; drop it if the peer is unknown."""
 
     @abstractmethod
     def subscribe(
         self, channel: Channel, handler: Callable[[PeerMessage], None]
     ) -> None:
-        """Have a handler called, on the peer thread, for each message."""
+        """Register a handler that the peer thread calls for each message."""
 
     @abstractmethod
     def members(self) -> tuple[Member, ...]:
-        """Return the live members, this instance among them."""
+        """Return the live members, including this instance."""
 
     def send_to_peers(self, own_instance: str, channel: Channel, body: bytes) -> None:
-        """Send a message to every live member but this instance."""
+        """Send a message to every live member except this instance."""
         for member in self.members():
             if member.instance != own_instance:
                 self.send(member.instance, channel, body)
 
 
 class RequestTransport(PeerTransport):
-    """A connection to peers that also carries requests with large replies."""
+    """A peer transport that also carries requests with large replies."""
 
     @abstractmethod
-    def answer(
-        self, channel: Channel, answerer: Callable[[PeerMessage], bytes]
+    def handle_requests(
+        self, channel: Channel, handler: Callable[[PeerMessage], bytes]
     ) -> None:
-        """Have requests on a channel answered, on the peer thread."""
+        """Register a handler that the peer thread calls for each request."""
 
     @abstractmethod
     def request(
         self, instance: str, channel: Channel, body: bytes, timeout_s: float
     ) -> PeerMessage:
-        """Send a request that may have a large reply, and return the reply.
+        """Send a request and return its reply, which may be large.
 
         Raises `OSError` if no reply came in time.
         """
--- a/src/cassiaford/fleet/claims.capnp
+++ b/src/cassiaford/fleet/claims.capnp
@@ -1,9 +1,9 @@
 @0xc7a5d2b8f1e0946b;
-# Claims that are forwarded to the instance that writes their shard.
+# Messages that forward claims to the instance that writes their shard.
 
 struct Ask {
   shard @0 :Text;
-  record @1 :Data;  # one line of a shard, as the key-value service holds it
+  record @1 :Data;  # one line of a shard, encoded as in the key-value service
 }
 
 struct Outcome {
--- a/src/cassiaford/fleet/load.capnp
+++ b/src/cassiaford/fleet/load.capnp
@@ -1,5 +1,5 @@
 @0xb5c2d07e9a3f4186;
-# What instances tell each other about the work they give to backend servers.
+# Announcements between instances of the work that they send to backend servers.
 
 struct SentPrompt {
   server @0 :Text;
--- a/src/cassiaford/fleet/peer.capnp
+++ b/src/cassiaford/fleet/peer.capnp
@@ -1,16 +1,16 @@
 @0xb1f3c5a7d9e20461;
 
-# A message between instances. It travels behind an HMAC-SHA-256 of its bytes.
-# Fields are only ever added; `minor` is raised with them, and a receiver
-# leaves alone what it does not know. `major` is raised when old receivers
-# could not make sense of a message.
+# A message between instances, sent after an HMAC-SHA-256 of its bytes. Fields
+# are only ever added; each addition increments `minor`, and receivers ignore
+# unknown fields. `major` is incremented when older receivers could not decode a
+# message.
 
 struct Envelope {
   major @0 :UInt16;
   minor @1 :UInt16;
   sender @2 :Text;
   incarnation @3 :UInt64;
-  receiver @4 :Text;       # empty if the sender knows an address only
+  receiver @4 :Text;       # empty if the sender knows only an address
   wallMs @5 :UInt64;       # the sender's hybrid logical clock
   counter @6 :UInt32;
   channel @7 :UInt16;
@@ -35,7 +35,7 @@
   target @2 :Text;
   updates @3 :List(MemberUpdate);
   revision @4 :UInt64;
-  digest @5 :UInt64;       # over the members that the sender knows
+  digest @5 :UInt64;       # of the members known to the sender
 }
 
 struct ConfigurationNotice {
@@ -46,7 +46,7 @@
   afterRevision @0 :UInt64;
 }
 
-# Either the entries after the revision asked for, or a whole configuration.
+# Either the entries after the requested revision, or a whole configuration.
 struct ConfigurationReply {
   snapshot @0 :Data;
   entries @1 :List(Data);
--- a/src/cassiaford/fleet/rates.capnp
+++ b/src/cassiaford/fleet/rates.capnp
@@ -1,6 +1,6 @@
 @0xb1f0c3a2d4e59687;
-# What instances tell each other about shares of customers' budgets. A field is
-# only ever added, so that two releases can run side by side.
+# Messages between instances about shares of customers' rates. Fields are only
+# ever added, so that two releases can run side by side.
 
 struct Holder {
   instance @0 :Text;
--- a/src/cassiaford/fleet/suspects.capnp
+++ b/src/cassiaford/fleet/suspects.capnp
@@ -1,5 +1,5 @@
 @0x9d1e7c5ab4083f62;
-# What instances tell each other about requests that may crash servers.
+# Messages between instances about requests that may crash servers.
 
 struct Crash {
   server @0 :Text;
--- a/src/cassiaford/instance/_acceptance.py
+++ b/src/cassiaford/instance/_acceptance.py
@@ -63,7 +63,7 @@
 
     def _submit_claimed(self, request, claim, exchange):
         def settle(settled: AdmittedRequest, outcome: Outcome) -> None:
-            self.claims.record(claim, outcome)
+            self.claims.record_outcome(claim, outcome)
             self.settler.settle(settled, outcome)
 
         claimed = replace(request, start_by=claim.start_by)
--- a/tests/test_claim_registry.py
+++ b/tests/test_claim_registry.py
@@ -6,11 +6,11 @@
 
 from cassiaford.fleet import create_claim_registry, shard_of
 from cassiaford.fleet._claim_messages import (
-    ClaimAnswered,
     ClaimMessageError,
-    EndTaken,
-    ForwardClaim,
-    ForwardEnd,
+    ClaimReply,
+    ForwardedClaim,
+    ForwardedOutcome,
+    OutcomeConfirmed,
     decode_claim_message,
     encode_claim_message,
 )
@@ -59,7 +59,9 @@
         claim = first.claim("shop", "key", "f", "r1")
         refusal = second.claim("shop", "key", "f", "r2")
         self.assertIs(refusal.reason, RefusalReason.IN_PROGRESS)
-        first.record(claim, Outcome(Verdict.RAN, 201, body=b"x", content_type="a/b"))
+        first.record_outcome(
+            claim, Outcome(Verdict.RAN, 201, body=b"x", content_type="a/b")
+        )
         self.assertTrue(first.stop(10.0))
         outcome = second.claim("shop", "key", "f", "r3")
         self.assertEqual(outcome, RecordedOutcome("r1", 201, "a/b", b"x"))
@@ -67,7 +69,7 @@
     def test_an_answer_too_large_to_keep_is_told_as_such(self):
         registry = self.registry()
         claim = registry.claim("shop", "key", "f", "r1")
-        registry.record(claim, Outcome(Verdict.RAN, 200, body=b"x" * 5000))
+        registry.record_outcome(claim, Outcome(Verdict.RAN, 200, body=b"x" * 5000))
         outcome = registry.claim("shop", "key", "f", "r2")
         self.assertEqual((outcome.status, outcome.body_kept), (200, False))
 
@@ -76,7 +78,7 @@
         body = b"x" * 4000
         for number in range(20):
             claim = registry.claim("shop", f"key-{number}", "f", "r1")
-            registry.record(claim, Outcome(Verdict.RAN, 200, body=body))
+            registry.record_outcome(claim, Outcome(Verdict.RAN, 200, body=body))
         other = self.registry("entry-2")
         self.assertTrue(registry.stop(10.0))
         for number in range(20):
@@ -99,10 +101,10 @@
         claim = sender.claim("shop", "key", "f", "r1")
         self.assertIsInstance(claim, Claim)
         self.assertEqual(claim.record.instance, sender.instance)
-        self.assertFalse(sender._shards)
+        self.assertFalse(sender._workers)
         refusal = home.claim("shop", "key", "f", "r2")
         self.assertIs(refusal.reason, RefusalReason.IN_PROGRESS)
-        sender.record(claim, Outcome(Verdict.RAN, 201, body=b"x"))
+        sender.record_outcome(claim, Outcome(Verdict.RAN, 201, body=b"x"))
         self.assertTrue(sender.stop(10.0))
         outcome = home.claim("shop", "key", "f", "r3")
         self.assertEqual(outcome, RecordedOutcome("r1", 201, "", b"x"))
@@ -113,7 +115,7 @@
         self.transports[home.instance].lose = 1
         claim = sender.claim("shop", "key", "f", "r1")
         self.assertIsInstance(claim, Claim)
-        sender.record(claim, Outcome(Verdict.NOT_RUN, 503))
+        sender.record_outcome(claim, Outcome(Verdict.NOT_RUN, 503))
         self.assertTrue(sender.stop(10.0))
         self.assertIsInstance(home.claim("shop", "key", "f", "r2"), Claim)
 
@@ -121,7 +123,7 @@
         sender, home = self.forwarding_pair()
         claim = sender.claim("shop", "key", "f", "r1")
         self.transports[sender.instance].lose = 1
-        sender.record(claim, Outcome(Verdict.NOT_RUN, 503))
+        sender.record_outcome(claim, Outcome(Verdict.NOT_RUN, 503))
         self.assertTrue(sender.stop(10.0))
         self.assertIsInstance(home.claim("shop", "key", "f", "r2"), Claim)
 
@@ -136,9 +138,9 @@
         record = ClaimRecord(KEY, "f", "n", "r", "entry-1", 2, 5.0)
         refusal = Refusal(RefusalReason.IN_PROGRESS, Verdict.MAY_HAVE_RUN, "m", 1.0)
         outcome = RecordedOutcome("r", 200, "a/b", b"body", False)
-        messages = [ForwardClaim("01", record), ForwardEnd("01", record)]
-        messages += [ClaimAnswered("n", a) for a in (None, refusal, outcome)]
-        messages.append(EndTaken("n"))
+        messages = [ForwardedClaim("01", record), ForwardedOutcome("01", record)]
+        messages += [ClaimReply("n", a) for a in (None, refusal, outcome)]
+        messages.append(OutcomeConfirmed("n"))
         for message in messages:
             body = encode_claim_message(message)
             self.assertEqual(decode_claim_message(body), message)
@@ -149,7 +151,7 @@
     def test_not_run_releases_the_claim(self):
         registry = self.registry()
         claim = registry.claim("shop", "key", "f", "r1")
-        registry.record(claim, Outcome(Verdict.NOT_RUN, 503))
+        registry.record_outcome(claim, Outcome(Verdict.NOT_RUN, 503))
         self.assertIsInstance(registry.claim("shop", "key", "f", "r2"), Claim)
 
     def test_a_lost_answer_is_settled_by_the_nonce(self):
@@ -161,7 +163,7 @@
         registry = self.registry()
         claim = registry.claim("shop", "old", "f", "r1")
         self.key_value.down = True
-        registry.record(claim, Outcome(Verdict.RAN, 200))
+        registry.record_outcome(claim, Outcome(Verdict.RAN, 200))
         refusal = registry.claim("shop", "new", "f", "r2")
         self.assertIs(refusal.reason, RefusalReason.CLAIMS_UNAVAILABLE)
         self.assertIs(refusal.verdict, Verdict.NOT_RUN)
--- a/tests/test_cli_configuration.py
+++ b/tests/test_cli_configuration.py
@@ -46,7 +46,7 @@
         )
         patch.start()
         self.addCleanup(patch.stop)
-        patch = mock.patch("cassiaford.fleet._log.SETTLE_DELAY_S", 0.0)
+        patch = mock.patch("cassiaford.fleet._log.CREATE_RETRY_DELAY_S", 0.0)
         patch.start()
         self.addCleanup(patch.stop)
         folder = tempfile.TemporaryDirectory()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -217,7 +217,7 @@
         fleets = self.start_fleet(2)
         address = fleets[0].sockets.address
         stranger = self.start("entry-8", [address], secret="another long secret")
-        wait_for(lambda: sum(fleets[0].sockets.gate.dropped.values()) > 2)
+        wait_for(lambda: sum(fleets[0].sockets.authenticator.dropped.values()) > 2)
         self.assertEqual(len(fleets[0].members()), 2)
         self.assertEqual(len(stranger.members()), 1)
 
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -10,20 +10,20 @@
 
 import cassiaford.fleet
 from cassiaford.fleet import Channel
+from cassiaford.fleet._authenticator import (
+    DroppedError,
+    DropReason,
+    FrameAuthenticator,
+    Identity,
+)
 from cassiaford.fleet._codec import (
     MAC_BYTES,
     DecodeError,
     Envelope,
     decode_membership,
+    encode_frame,
     encode_membership,
     schema,
-    seal,
-)
-from cassiaford.fleet._gate import (
-    DroppedError,
-    DropReason,
-    FrameAuthenticator,
-    Identity,
 )
 from cassiaford.fleet._peers import MAX_DATAGRAM_BYTES
 from cassiaford.policy import (
@@ -61,7 +61,7 @@
     def setUp(self):
         self.sender = gate("entry-1")
         self.receiver = gate("entry-2")
-        self.frame = self.sender.seal("entry-2", Channel.RATES, b"body")
+        self.frame = self.sender.create_frame("entry-2", Channel.RATES, b"body")
 
     def assert_dropped(self, frame, reason):
         before = self.receiver.dropped[reason]
@@ -77,31 +77,31 @@
 
     def test_a_message_under_another_secret_is_dropped(self):
         stranger = gate("entry-1", secret=b"the secret of another fleet")
-        frame = stranger.seal("entry-2", Channel.RATES, b"body")
-        self.assert_dropped(frame, DropReason.FOREIGN)
+        frame = stranger.create_frame("entry-2", Channel.RATES, b"body")
+        self.assert_dropped(frame, DropReason.UNAUTHENTICATED)
 
     def test_each_altered_byte_is_noticed(self):
         for position in range(len(self.frame)):
             altered = bytearray(self.frame)
             altered[position] ^= 1
-            self.assert_dropped(bytes(altered), DropReason.FOREIGN)
+            self.assert_dropped(bytes(altered), DropReason.UNAUTHENTICATED)
 
     def test_noise_and_short_frames_are_dropped(self):
         for frame in (b"", b"x", bytes(MAC_BYTES), bytes(500)):
-            self.assert_dropped(frame, DropReason.FOREIGN)
+            self.assert_dropped(frame, DropReason.UNAUTHENTICATED)
 
     def test_a_message_of_an_older_incarnation_is_dropped(self):
         restarted = gate("entry-1", incarnation=2)
-        self.receiver.accept(restarted.seal("entry-2", Channel.RATES, b"new"))
+        self.receiver.accept(restarted.create_frame("entry-2", Channel.RATES, b"new"))
         self.assert_dropped(self.frame, DropReason.OLD_INCARNATION)
 
     def test_a_message_to_another_instance_is_dropped(self):
-        frame = self.sender.seal("entry-3", Channel.RATES, b"body")
+        frame = self.sender.create_frame("entry-3", Channel.RATES, b"body")
         self.assert_dropped(frame, DropReason.OTHER_RECEIVER)
 
     def test_an_instance_does_not_hear_itself(self):
-        own = self.receiver.seal("", Channel.RATES, b"body")
-        self.assert_dropped(own, DropReason.OWN)
+        own = self.receiver.create_frame("", Channel.RATES, b"body")
+        self.assert_dropped(own, DropReason.OWN_FRAME)
 
     def test_another_major_version_is_dropped(self):
         message = schema.Envelope.new_message(major=2, sender="entry-1")
@@ -110,7 +110,7 @@
         self.assert_dropped(mac + payload, DropReason.PROTOCOL_VERSION)
 
     def test_an_unknown_channel_is_dropped(self):
-        frame = seal(envelope(channel=99), SECRET)
+        frame = encode_frame(envelope(channel=99), SECRET)
         self.assert_dropped(frame, DropReason.UNKNOWN_CHANNEL)
 
     def test_authentic_nonsense_is_malformed(self):
@@ -120,13 +120,13 @@
 
     def test_the_receivers_clock_passes_the_senders(self):
         ahead = gate("entry-1", wall_s=1030.0)
-        self.receiver.accept(ahead.seal("entry-2", Channel.RATES, b"body"))
+        self.receiver.accept(ahead.create_frame("entry-2", Channel.RATES, b"body"))
         self.assertGreater(self.receiver.clock.now(), ahead.clock.last)
 
     def test_frames_from_many_threads_are_counted(self):
         def work():
             for _ in range(100):
-                self.receiver.accept(self.sender.seal("", Channel.RATES, b""))
+                self.receiver.accept(self.sender.create_frame("", Channel.RATES, b""))
 
         threads = [threading.Thread(target=work) for _ in range(4)]
         for thread in threads:
@@ -152,7 +152,7 @@
         self.assertEqual(decode_membership(encode_membership(message)), message)
 
     def test_the_largest_message_fits_a_datagram(self):
-        frame = gate("e" * 63).seal(
+        frame = gate("e" * 63).create_frame(
             "f" * 63, Channel.MEMBERSHIP, encode_membership(self.message())
         )
         self.assertLessEqual(len(frame), MAX_DATAGRAM_BYTES)
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -89,17 +89,17 @@
         first = self.limiter("entry-1")
         self.key_value.down = True
         second = self.limiter("entry-2")
-        self.wait_until(lambda: second.book.ledger.epoch == 1)
+        self.wait_until(lambda: second.rate_shares.ledger.epoch == 1)
         self.wait_until(lambda: second.charge(SHOP, 4000) is None)
         self.assertIsNotNone(first.charge(SHOP, 4000))
 
     def test_one_that_leaves_hands_its_shares_over(self):
         first, second = self.limiter("entry-1"), self.limiter("entry-2")
         first.leave()
-        self.wait_until(lambda: second.book.ledger.epoch == 3)
-        self.wait_until(lambda: second.book.converged)
-        self.assertEqual(second.book.ledger.holders, (Holder("entry-2", 1),))
-        self.assertEqual(second.book.shares["shop"].fraction, 1.0)
+        self.wait_until(lambda: second.rate_shares.ledger.epoch == 3)
+        self.wait_until(lambda: second.rate_shares.converged)
+        self.assertEqual(second.rate_shares.ledger.holders, (Holder("entry-2", 1),))
+        self.assertEqual(second.rate_shares.shares["shop"].fraction, 1.0)
 
     def test_a_message_that_is_not_understood_is_counted(self):
         limiter = self.limiter("entry-1")
