--- a/src/cassiaford/gateway/__init__.py
+++ b/src/cassiaford/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""The gateway: an entry instance as one event loop, on a shared platform.
+"""The gateway: an entry instance that runs in one event loop on a platform.
 
-It speaks through a `Dialect`, `Records` and a `SharedStore`, which an adapter
-implements for the platform that it runs on.
+It uses the platform through interfaces such as `Dialect`, `RecordDecoder` and
+`SharedStore`, which an adapter for that platform implements.
 """
 
 from cassiaford._hop_by_hop import HOP_BY_HOP
--- a/src/cassiaford/gateway/_attempt.py
+++ b/src/cassiaford/gateway/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request served by one backend server."""
+"""One attempt to serve a request with one backend server."""
 
 import asyncio
 import re
@@ -21,42 +21,42 @@
 )
 from cassiaford.verdict import Failure
 
-# Answers up to this size are held until they are whole, so that a broken one
-# can still be replaced by a failure or another server's answer.
-MAX_HELD_BYTES = 262_144
-# Statuses that tell a caller its request has not run, which only the server
-# itself can say.
+# Responses up to this size are buffered until complete, so that a broken one can
+# still be replaced by a failure or by another server's response.
+MAX_BUFFERED_BYTES = 262_144
+# Statuses that tell a caller that its request has not run. Only the server can
+# know that, so they are relayed only if it says so.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 _EVENT_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
 
 
 @dataclass(frozen=True)
-class Answer:
-    """A response whose head is judged; its body may still be on the way."""
+class ServerResponse:
+    """A response with a validated head, whose body may still be arriving."""
 
     head: ResponseHead
-    facts: ResponseMetadata
+    metadata: ResponseMetadata
     connection: ServerConnection = field(repr=False)
 
     @property
     def succeeded(self) -> bool:
-        """Whether the server says that it served the request."""
+        """Whether the status is a success."""
         return 200 <= self.head.status < 300
 
     @property
     def is_stream(self) -> bool:
-        """Whether the body is a stream of events."""
+        """Whether the body is a stream of server-sent events."""
         kind = self.head.header("content-type") or ""
         return kind.startswith("text/event-stream")
 
 
 class Attempt:
-    """Sends a request to one server and judges the answer.
+    """Sends a request to one server and validates the response.
 
-    `sent` is whether any byte of the request was handed to the connection,
-    `answered` whether the server has begun an answer to pass on, `replaced`
-    whether another server answered at its address.
+    `sent` is whether any byte of the request was written to the connection,
+    `has_response` whether a valid response head has arrived, and
+    `server_replaced` whether another server responded at the address.
     """
 
     def __init__(self, dialect: Dialect, pool: ConnectionPool, forwarding: Forwarding):
@@ -65,8 +65,8 @@
         self.forwarding = forwarding
         self.connection: ServerConnection | None = None
         self.sent = False
-        self.answered = False
-        self.replaced = False
+        self.has_response = False
+        self.server_replaced = False
         self.done = False
 
     @property
@@ -75,83 +75,87 @@
         return self.forwarding.server.address
 
     async def send(
-        self, request: HttpRequest, attempt_id: str, *, only_run: bool
-    ) -> Answer:
-        """Send the request and return the judged head of the answer.
+        self, request: HttpRequest, attempt_id: str, *, single_run: bool
+    ) -> ServerResponse:
+        """Send the request and return the response with its validated head.
 
-        A request that may not run again, an `only_run`, goes over a connection
-        that carried none before. Raises `ExchangeError` if there is no answer
-        to be passed on.
+        With `single_run`, which stands for a request that may not run again, the
+        connection is a new one. Raises `ExchangeError` if there is no response
+        to relay.
         """
-        connect = self.pool.unused if only_run else self.pool.connection
+        connect = self.pool.acquire_new if single_run else self.pool.acquire
         self.connection = await connect(self.address)
         headers = self.dialect.forwarded_headers(request, self.forwarding)
         data = request_bytes(request.method, request.target, headers, request.body)
         self.sent = True
-        self.connection.start(data, lambda head: self._is_ours(head, attempt_id))
+        self.connection.start(
+            data, lambda head: self._belongs_to_attempt(head, attempt_id)
+        )
         head = await self.connection.head()
-        facts = self.dialect.read_response(head.status, head.headers)
-        self._judge(head, facts)
-        self.answered = True
-        return Answer(head, facts, self.connection)
-
-    async def body(self, answer: Answer) -> bytes | None:
-        """Return the whole body, or None if it is too long to hold."""
-        length = answer.head.length
-        if length is not None and length > MAX_HELD_BYTES:
+        metadata = self.dialect.read_response(head.status, head.headers)
+        self._validate(head, metadata)
+        self.has_response = True
+        return ServerResponse(head, metadata, self.connection)
+
+    async def read_short_body(self, response: ServerResponse) -> bytes | None:
+        """Return the whole body, or None if it is too long to buffer."""
+        length = response.head.length
+        if length is not None and length > MAX_BUFFERED_BYTES:
             return None
-        return await answer.connection.body()
+        return await response.connection.body()
 
     def finish(self) -> None:
-        """Keep the connection after a whole answer."""
+        """Release the connection to the pool after a complete response."""
         self.done = True
-        self.pool.give_back(self.address, self.connection)
+        self.pool.release(self.address, self.connection)
 
     def cancel(self) -> None:
-        """Close the connection, which cancels the request."""
+        """Close the connection, which cancels a request in progress."""
         if self.connection is not None and not self.done:
             self.done = True
             self.connection.close()
 
-    def _is_ours(self, head, attempt_id):
-        facts = self.dialect.read_response(head.status, head.headers)
-        if facts.attempt_id is None:
+    def _belongs_to_attempt(self, head, attempt_id):
+        metadata = self.dialect.read_response(head.status, head.headers)
+        if metadata.attempt_id is None:
             return not 200 <= head.status < 300
-        return facts.attempt_id == attempt_id
+        return metadata.attempt_id == attempt_id
 
-    def _judge(self, head, facts):
-        if facts.misdirected:
-            self._misdirected(facts)
-        if facts.not_run and head.status in NOT_RUN_STATUSES:
+    def _validate(self, head, metadata):
+        if metadata.misdirected:
+            self._raise_misdirected(metadata)
+        if metadata.not_run and head.status in NOT_RUN_STATUSES:
             raise ExchangeError(Failure.NOT_STARTED, f"status {head.status}")
         if head.status in NOT_RUN_STATUSES:
-            detail = f"status {head.status} without word that it has not run"
+            detail = f"status {head.status} without a statement that it has not run"
             raise ExchangeError(Failure.OVERLOADED, detail)
-        if 200 <= head.status < 300 and not facts.signed:
-            raise ExchangeError(Failure.INVALID_RESPONSE, "success without signature")
+        if 200 <= head.status < 300 and not metadata.signed:
+            raise ExchangeError(Failure.INVALID_RESPONSE, "success without a signature")
 
-    def _misdirected(self, facts):
-        if facts.server_id == self.forwarding.server.server_id:
-            raise ExchangeError(Failure.NOT_STARTED, "the engine has other weights")
-        self.replaced = True
-        raise ExchangeError(Failure.NOT_STARTED, "another server has the address")
+    def _raise_misdirected(self, metadata):
+        if metadata.server_id == self.forwarding.server.server_id:
+            raise ExchangeError(
+                Failure.NOT_STARTED, "the engine has another version of the weights"
+            )
+        self.server_replaced = True
+        raise ExchangeError(Failure.NOT_STARTED, "another server has this address")
 
 
 class EventReader:
-    """Reads whole events of an answer; a part of one is never passed on."""
+    """Reads complete events of a streamed response, never a partial one."""
 
-    def __init__(self, answer: Answer):
-        self.connection = answer.connection
+    def __init__(self, response: ServerResponse):
+        self.connection = response.connection
         self.splitter = EventSplitter()
 
-    async def next(self, time_out_s: float | None) -> bytes:
-        """Return the next whole events, or ``b""`` at the stream's end.
+    async def next(self, timeout_s: float | None) -> bytes:
+        """Return the next complete events, or ``b""`` at the stream's end.
 
-        Raises `ExchangeError` if the stream breaks off or falls silent.
+        Raises `ExchangeError` if the stream breaks off or stays idle too long.
         """
         while True:
             try:
-                async with asyncio.timeout(time_out_s):
+                async with asyncio.timeout(timeout_s):
                     data = await self.connection.chunk()
             except TimeoutError as error:
                 raise ExchangeError(Failure.IDLE_TIMEOUT) from error
@@ -175,6 +179,6 @@
     return found[-1].decode("latin-1") if found else None
 
 
-def without_framing(headers: Headers) -> Headers:
-    """Return headers without those that frame a body."""
+def without_content_length(headers: Headers) -> Headers:
+    """Return headers without Content-Length."""
     return [(n, v) for n, v in headers if n.lower() != "content-length"]
--- a/src/cassiaford/gateway/_dialect.py
+++ b/src/cassiaford/gateway/_dialect.py
@@ -1,4 +1,4 @@
-"""What a gateway needs translated between itself and its surroundings."""
+"""Interfaces that translate the platform's protocols for the gateway."""
 
 from abc import ABC, abstractmethod
 
@@ -14,7 +14,7 @@
 
 
 class MalformedError(ValueError):
-    """A message that does not have the form of its protocol."""
+    """A message or entry violates the format of its protocol."""
 
 
 class Dialect(ABC):
@@ -22,23 +22,25 @@
 
     @abstractmethod
     def read_request(self, request: HttpRequest) -> RequestMetadata:
-        """Return what a caller's headers say; raise `MalformedError`."""
+        """Return the metadata in a caller's headers; raise `MalformedError`."""
 
     @abstractmethod
-    def forwarded_headers(self, request: HttpRequest, facts: Forwarding) -> Headers:
-        """Return the headers with which a request goes to a backend server."""
+    def forwarded_headers(
+        self, request: HttpRequest, forwarding: Forwarding
+    ) -> Headers:
+        """Return the headers of a request as sent to a backend server."""
 
     @abstractmethod
     def read_response(self, status: int, headers: Headers) -> ResponseMetadata:
-        """Return what the headers of a response say."""
+        """Return the metadata in a backend server's response headers."""
 
     @abstractmethod
     def returned_headers(self, headers: Headers) -> Headers:
-        """Return the headers of a response that its caller gets."""
+        """Return the headers of a response as sent to the caller."""
 
 
 class RecordDecoder(ABC):
-    """Decodes what operators and backend servers keep in the shared store."""
+    """Decodes the store entries that operators and backend servers write."""
 
     configuration_key: str
     operators_prefix: str
@@ -47,32 +49,32 @@
 
     @abstractmethod
     def configuration(self, value: bytes) -> Configuration:
-        """Return a configuration; raise `MalformedError`."""
+        """Return the decoded configuration; raise `MalformedError`."""
 
     @abstractmethod
     def named_version(self, value: bytes) -> tuple[str, int]:
-        """Return a model and the version named for it; raise `MalformedError`."""
+        """Return a model and its named version; raise `MalformedError`."""
 
     @abstractmethod
     def server(self, key: str, value: bytes) -> BackendServer:
-        """Return a registered backend server; raise `MalformedError`."""
+        """Return the registered backend server; raise `MalformedError`."""
 
 
 class Directory(ABC):
-    """Answers callers that ask where to connect."""
+    """The directory protocol, by which callers look up addresses to connect to."""
 
     @abstractmethod
-    def requested(self, target: str) -> bool:
-        """Return whether a target is that question."""
+    def matches(self, target: str) -> bool:
+        """Return whether a request target is a directory lookup."""
 
     @abstractmethod
-    def answer(self, addresses: list[str], time_to_live_s: float) -> bytes:
-        """Return the body that names addresses, the best first."""
+    def response_body(self, addresses: list[str], time_to_live_s: float) -> bytes:
+        """Return the response body that lists addresses, the best first."""
 
 
 class ReadinessProbe(ABC):
-    """Recognises the probe that asks whether an instance is ready."""
+    """Recognises readiness probes."""
 
     @abstractmethod
-    def requested(self, target: str) -> bool:
-        """Return whether a target is that probe."""
+    def matches(self, target: str) -> bool:
+        """Return whether a request target is the readiness probe."""
--- a/src/cassiaford/gateway/_engine_control.py
+++ b/src/cassiaford/gateway/_engine_control.py
@@ -1,4 +1,4 @@
-"""What a gateway asks of model engines beside requests."""
+"""The interface for control calls to model engines."""
 
 import enum
 from abc import ABC, abstractmethod
@@ -12,11 +12,11 @@
 
 
 class WrongServerError(EngineCallError):
-    """Another server answers at the engine's address; nothing took effect."""
+    """Another server responds at the engine's address; nothing took effect."""
 
 
 class OrderResponse(enum.Enum):
-    """How an engine answers an order."""
+    """An engine's response to an order."""
 
     ACCEPTED = "accepted"
     ALREADY_LOADED = "already_holds"
@@ -27,9 +27,10 @@
 
 @dataclass(frozen=True)
 class EngineReport:
-    """What an engine says of its weights and orders.
+    """An engine's report on its weights and orders.
 
-    `orders_accepted` is their number since the engine's start.
+    `versions` are the versions of the loaded weights by model. `orders_accepted`
+    counts the orders since the engine's start.
     """
 
     versions: dict[str, int]
@@ -41,8 +42,8 @@
 class VersionOrder:
     """An order to load a version of a model once running requests have ended.
 
-    `fencing` is the orderer's fencing token; the engine carries the order out
-    only if `orders_accepted` is still the number of orders it has accepted.
+    `fencing` is the orderer's fencing token. The engine rejects the order unless
+    `orders_accepted` is the number of orders that it has accepted so far.
     """
 
     model: str
@@ -53,12 +54,12 @@
 
 
 class EngineControl(ABC):
-    """Calls to engines; each raises `EngineCallError` without an answer."""
+    """Calls to engines; each raises `EngineCallError` if it gets no response."""
 
     @abstractmethod
     async def report(self, server: BackendServer) -> EngineReport:
-        """Return an engine's report."""
+        """Return the engine's report."""
 
     @abstractmethod
     async def order(self, server: BackendServer, order: VersionOrder) -> OrderResponse:
-        """Give an engine an order."""
+        """Send the engine an order and return its response."""
--- a/src/cassiaford/gateway/_gateway.py
+++ b/src/cassiaford/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts wired together, its start and its planned stop."""
+"""The gateway: its components, its start and its planned stop."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 from cassiaford.gateway._copies import StoreCopies
 from cassiaford.gateway._dialect import MalformedError
 from cassiaford.gateway._event_log import EventLog
-from cassiaford.gateway._front import Front
+from cassiaford.gateway._front import FrontHandler
 from cassiaford.gateway._gauges import gauges, state_ages
 from cassiaford.gateway._mirror import Mirror, MirrorSync, Section
 from cassiaford.gateway._orders import Orderer
@@ -43,25 +43,27 @@
 OWN_PREFIX = "cassiaford/"
 INSTANCES_PREFIX = OWN_PREFIX + "instances/"
 ORDERER_KEY = OWN_PREFIX + "orderer"
-# Engines that are loading are out of use until their entries are seen.
-SERVERS_GATHER_S = 0.12
-# How often what lapses is looked at.
-HOUSEKEEPING_S = 0.2
+# Batch window for changes to server entries. It must be short, because engines that
+# have loaded new weights stay out of use until their entries are seen.
+SERVER_BATCH_WINDOW_S = 0.12
+# Interval between checks for expired state.
+HOUSEKEEPING_INTERVAL_S = 0.2
 METRICS_TARGET = "/metrics"
-# Of a planned stop: callers learn of it, then new requests are refused, then
-# the process ends once nothing is in progress.
-REFUSE_AFTER_SHARE = 0.3
-END_SHARE = 0.84
-# No request may begin on replaced weights in the last part of the time in
-# which new ones are to be in place; it may wait that long in a queue.
+# Phases of a planned stop, as fractions of its time: first the instance leaves the
+# directory, then it refuses new requests, and it exits once no request is in
+# progress, at the latest at the second fraction.
+REFUSE_AFTER_FRACTION = 0.3
+END_FRACTION = 0.84
+# No request may be sent to replaced weights in the last second of the time in which
+# new ones must be in place, since it may wait that long in an engine's queue.
 WEIGHTS_MARGIN_S = 1.0
 
 
 class Gateway:
     """Serves callers until it is told to stop.
 
-    Choices between equals are drawn from `rng`; no two instances should draw
-    alike.
+    `rng` breaks ties and spreads delays; every instance should have a different
+    seed. `reload` returns the current settings when a signal asks for a reload.
     """
 
     def __init__(
@@ -91,29 +93,29 @@
         self.other_connections: set[CallerConnection] = set()
         self.servers: list[asyncio.Server] = []
         self.stopping = asyncio.Event()
-        self._create_decisions()
-        self._create_store_parts()
+        self._create_policies()
+        self._create_store_clients()
         self._create_peers()
         self._create_front()
         self._tasks: list[asyncio.Task] = []
 
-    def _create_decisions(self):
+    def _create_policies(self):
         self.engines = EnginePlacer()
         self.services = ServicePlacer()
-        self.trust = ServerHealth()
+        self.health = ServerHealth()
         self.rates = FleetRates(self.settings.rate_window_s)
         self.table = PeerTable()
         self.view = View(self.adapter.records, self.rates, self.log)
         self.view.on_versions_changed = self.engines.clear_cached_prefixes
         self.view.on_own_key_changed = self._own_key_changed
         self.view.on_servers_changed = self._servers_changed
-        self.view.on_configuration_changed = self._tell_readiness
+        self.view.on_configuration_changed = self._update_readiness
 
-    def _create_store_parts(self):
+    def _create_store_clients(self):
         records = self.adapter.records
         sections = (
             Section(records.operators_prefix),
-            Section(records.servers_prefix, SERVERS_GATHER_S),
+            Section(records.servers_prefix, SERVER_BATCH_WINDOW_S),
             Section(OWN_PREFIX),
         )
         self.mirror = Mirror(sections, self.view)
@@ -149,11 +151,11 @@
             self.rates,
             self.log,
         )
-        self.prober = ServerProber(self.view, self.trust, self.adapter.pool, self.log)
+        self.prober = ServerProber(self.view, self.health, self.adapter.pool, self.log)
         self.orderer.unreachable = lambda: self.prober.unreachable
         self.store_prober = PrefixStoreProber(self.view, self.adapter.pool, self.log)
         self.peers.on_unreachable = self.prober.probe_reported
-        self.peers.on_out_of_use = self._held_changed
+        self.peers.on_out_of_use = self._out_of_use_changed
         self.orderer.on_out_of_use = self.peers.set_out_of_use
         self.peers.revision = lambda: self.mirror.revision
         self.copies = StoreCopies(self.mirror, self.sync, self.adapter.pool, self.log)
@@ -165,28 +167,28 @@
             view=self.view,
             engines=self.engines,
             services=self.services,
-            health=self.trust,
+            health=self.health,
             data_centre=settings.data_centre,
             weights_grace_s=settings.weights_within_s - WEIGHTS_MARGIN_S,
             rng=self.rng,
         )
-        self.placer.store_reachable_since = self._store_steady_since
+        self.placer.store_reachable_since = self._store_reachable_since
         self.placer.on_placement = self.peers.record_placement
-        self.front = Front(
+        self.front = FrontHandler(
             dialect=self.adapter.dialect,
             view=self.view,
             placer=self.placer,
-            trust=self.trust,
+            health=self.health,
             prober=self.prober,
             pool=self.adapter.pool,
             rates=self.rates,
-            resends=settings.retry_limits,
+            retry_limits=settings.retry_limits,
             log=self.log,
             metrics=self.metrics,
             rng=self.rng,
         )
-        self.front.instances = lambda: len(self.table.expected()) + 1
-        self.front.beliefs = lambda: state_ages(self, self.loop.time())
+        self.front.instance_count = lambda: len(self.table.expected()) + 1
+        self.front.state_ages = lambda: state_ages(self, self.loop.time())
 
     # Start and stop.
 
@@ -196,23 +198,24 @@
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
         self.log.write(Event.INSTANCE_STARTED, incarnation=self.state.incarnation)
         await self._listen()
-        parts = (
+        components = (
             self.sync.run,
             self.registration.run,
             self.orderer.run,
             self.peers.run,
             self.store_prober.run,
-            self._keep_house,
+            self._run_housekeeping,
         )
         self._tasks = [
-            self.loop.create_task(run_with_restarts(p, self.log)) for p in parts
+            self.loop.create_task(run_with_restarts(run, self.log))
+            for run in components
         ]
         await self.stopping.wait()
         await self._drain()
         await self.close()
 
     async def close(self) -> None:
-        """Stop every part and close every connection at once."""
+        """Stop every component and close every connection at once."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -225,7 +228,7 @@
         self.adapter.pool.close()
 
     def _reload(self):
-        """Read the settings again; addresses stay as they were at the start."""
+        """Reload the settings; the addresses stay those of the start."""
         if self.reload is None:
             return
         try:
@@ -234,16 +237,16 @@
             self.log.write(Event.SETTINGS_REJECTED, cause=str(error))
             return
         addresses = self.settings.addresses
-        kept = settings.addresses == addresses
+        unchanged = settings.addresses == addresses
         self.settings = replace(settings, addresses=addresses)
-        self.front.resends = settings.retry_limits
-        self.front.parts.budgets.clear()
+        self.front.retry_limits = settings.retry_limits
+        self.front.context.budgets.clear()
         self.orderer.rollout.deadline_s = settings.weights_within_s
-        self.log.write(Event.SETTINGS_RELOADED, addresses_kept=kept)
+        self.log.write(Event.SETTINGS_RELOADED, addresses_kept=unchanged)
 
     @property
     def ready(self) -> bool:
-        """Whether callers can be served."""
+        """Whether the instance can serve callers."""
         if self.stopping.is_set() or self.view.configuration is None:
             return False
         return bool(self.view.servers)
@@ -251,9 +254,9 @@
     async def _listen(self):
         addresses = self.settings.addresses
         adapter = self.adapter
-        probe = ProbeHandler(adapter.probe.requested, lambda: self.ready)
+        probe = ProbeHandler(adapter.probe.matches, lambda: self.ready)
         directory = BodyHandler(
-            adapter.directory.requested, self._directory_body, "application/json"
+            adapter.directory.matches, self._directory_body, "application/json"
         )
         copies = BodyHandler(
             self.copies.requested,
@@ -277,20 +280,20 @@
         )
 
     async def _drain(self):
-        """Leave the directory, finish what was accepted, and end."""
+        """Leave the directory, then finish the accepted requests."""
         started = self.loop.time()
         drain_s = self.settings.drain_s
         self.log.write(Event.DRAIN_STARTED, in_progress=self.front.in_progress)
         self.front.leaving = True
-        self._tell_readiness()
+        self._update_readiness()
         await self._leave_store()
-        refuse_at = started + REFUSE_AFTER_SHARE * drain_s
+        refuse_at = started + REFUSE_AFTER_FRACTION * drain_s
         await asyncio.sleep(max(0.0, refuse_at - self.loop.time()))
         self.front.refusing = True
         self.servers[0].close()
         for connection in tuple(self.connections):
             connection.close_if_idle()
-        end_at = started + END_SHARE * drain_s
+        end_at = started + END_FRACTION * drain_s
         while self.front.in_progress and self.loop.time() < end_at:
             await asyncio.sleep(0.05)
         cut = self.front.in_progress
@@ -299,47 +302,47 @@
 
     async def _leave_store(self):
         with contextlib.suppress(TimeoutError):
-            # Leases run out by themselves; the drain does not wait for a store
-            # that does not answer.
+            # Leases expire by themselves, so the drain does not wait for a store
+            # that does not respond.
             async with asyncio.timeout(0.5):
                 await self.orderer.resign()
                 await self.registration.withdraw()
 
-    # What goes on beside requests.
+    # Background work and callbacks.
 
-    async def _keep_house(self):
+    async def _run_housekeeping(self):
         suspensions = SuspensionWatch()
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
-            if away := suspensions.elapsed_suspension_s():
-                self.log.write(Event.INSTANCE_SUSPENDED, away_s=round(away, 3))
-            self._expire()
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+            if suspended_s := suspensions.elapsed_suspension_s():
+                self.log.write(Event.INSTANCE_SUSPENDED, away_s=round(suspended_s, 3))
+            self._expire_state()
 
-    def _expire(self):
+    def _expire_state(self):
         now = self.loop.time()
         self.view.expire()
         self.engines.prefix_locations.expire(now)
-        self.adapter.pool.sweep()
+        self.adapter.pool.close_expired()
         for name in self.table.expire(now):
-            self._forget_peer(name)
-        self._tell_readiness()
+            self._remove_peer(name)
+        self._update_readiness()
         self.rates.set_members(self.table.expected(), now)
         self.peers.set_customers(
             self.view.configuration.customers if self.view.configuration else ()
         )
         self.peers.unreachable = self.prober.unreachable
-        self._held_changed()
+        self._out_of_use_changed()
         self.placer.unreachable_stores = self.store_prober.unreachable
 
-    def _held_changed(self):
+    def _out_of_use_changed(self):
         self.placer.out_of_use = self.peers.all_out_of_use()
 
-    def _forget_peer(self, name):
+    def _remove_peer(self, name):
         self.log.write(Event.MEMBER_LOST, peer=name)
         self.engines.remove_peer(name)
         self.services.remove_peer(name)
 
-    def _tell_readiness(self):
+    def _update_readiness(self):
         if self.state.ready != self.ready:
             self.state = self.peers.state = replace(self.state, ready=self.ready)
             if self.ready:
@@ -349,8 +352,8 @@
     def _servers_changed(self):
         keys = {key for servers in self.view.servers.values() for key in servers}
         self.engines.retain(keys)
-        self.trust.retain(keys)
-        self._tell_readiness()
+        self.health.retain(keys)
+        self._update_readiness()
 
     def _own_key_changed(self, change: Change):
         now = self.loop.time()
@@ -371,7 +374,7 @@
                     Event.REVISION_REJECTED, key=change.key, cause=str(error)
                 )
 
-    def _store_steady_since(self, moment: float) -> bool:
+    def _store_reachable_since(self, moment: float) -> bool:
         if not self.sync.reachable:
             return False
         return self.sync.lost_at is None or self.sync.lost_at < moment
@@ -394,4 +397,6 @@
         self.rng.shuffle(addresses)
         if not addresses:
             return None
-        return self.adapter.directory.answer(addresses, self.settings.directory_ttl_s)
+        return self.adapter.directory.response_body(
+            addresses, self.settings.directory_ttl_s
+        )
--- a/src/cassiaford/gateway/_gauges.py
+++ b/src/cassiaford/gateway/_gauges.py
@@ -24,8 +24,8 @@
     shares = gateway.rates.shares_left()
     yield "customers_over_rate", sum(share <= 0.0 for share in shares)
     yield "rate_left_least_share", min(shares, default=1.0)
-    budgets = gateway.front.parts.budgets.values()
-    instances = gateway.front.instances()
+    budgets = gateway.front.context.budgets.values()
+    instances = gateway.front.instance_count()
     left = [budget.left(now, instances) for budget in budgets]
     yield "resends_left_least", min(left, default=0.0)
 
--- a/src/cassiaford/gateway/_http_caller.py
+++ b/src/cassiaford/gateway/_http_caller.py
@@ -1,4 +1,4 @@
-"""Short calls from the gateway to the store, to engines and to peers."""
+"""A client for short HTTP calls to the store, engines and peers."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """The whole answer to a call."""
+    """The complete response to a call."""
 
     status: int
     body: bytes = field(repr=False)
 
 
 class CallFailedError(Exception):
-    """A call got no answer; `sent` is whether any of it left."""
+    """A call got no response; `sent` is whether it may have been sent."""
 
     def __init__(self, detail: str, sent: bool):
         super().__init__(detail)
@@ -28,7 +28,7 @@
 
 
 class HttpClient:
-    """Makes calls over kept connections."""
+    """Makes calls over pooled connections."""
 
     def __init__(self, pool: ConnectionPool):
         self.pool = pool
@@ -38,31 +38,31 @@
         method: str,
         address: str,
         target: str,
-        time_out_s: float,
+        timeout_s: float,
         headers: Headers = (),
         body: bytes = b"",
     ) -> Reply:
-        """Return the answer to a call; raise `CallFailedError`."""
+        """Return the response to a call; raise `CallFailedError`."""
         connection = None
         try:
-            async with asyncio.timeout(time_out_s):
-                connection = await self.pool.connection(address)
+            async with asyncio.timeout(timeout_s):
+                connection = await self.pool.acquire(address)
                 lines = [("Host", address), *headers]
                 connection.start(request_bytes(method, target, lines, body))
                 head = await connection.head()
-                answer = Reply(head.status, await connection.body())
+                reply = Reply(head.status, await connection.body())
         except ExchangeError as error:
             self._drop(connection)
             raise CallFailedError(str(error), connection is not None) from error
         except TimeoutError as error:
             self._drop(connection)
-            detail = f"no answer within {time_out_s:g} s"
+            detail = f"no response within {timeout_s:g} s"
             raise CallFailedError(detail, connection is not None) from error
         except BaseException:
             self._drop(connection)
             raise
-        self.pool.give_back(address, connection)
-        return answer
+        self.pool.release(address, connection)
+        return reply
 
     def _drop(self, connection):
         if connection is not None:
--- a/src/cassiaford/gateway/_job.py
+++ b/src/cassiaford/gateway/_job.py
@@ -1,4 +1,4 @@
-"""A request on its way, with what was decided about it."""
+"""The state of an admitted request."""
 
 from dataclasses import dataclass, field
 
@@ -10,47 +10,55 @@
 
 @dataclass
 class Job:
-    """A request on its way, with what was decided about it."""
+    """An admitted request and the state of its processing.
+
+    `deadline` is on the event loop's clock. `sends` counts the sends to servers and
+    `runs` those that may have run; `tried_servers` has the keys of all servers tried.
+    `expected_first_token_s` is the server's expected time to the first token, and
+    `first_byte_s` the time from receipt to the first byte sent to the caller.
+    `resume_after` is the identifier of the last event sent. `misses_deadline` is
+    set if no server could start the response before the deadline.
+    """
 
     request: HttpRequest = field(repr=False)
-    facts: RequestMetadata
+    metadata: RequestMetadata
     route: Route
     customer: Customer | None
     service: str
     connection: CallerConnection = field(repr=False)
-    ends_at: float
+    deadline: float
     sends: int = 0
     runs: int = 0
     verdict: Verdict = Verdict.NOT_RUN
-    tried: set[int] = field(default_factory=set)
+    tried_servers: set[int] = field(default_factory=set)
     resume_after: str | None = None
     head_sent: bool = False
     failure: Failure | None = None
-    server: str = ""
-    expected_s: float = 0.0
+    server_id: str = ""
+    expected_first_token_s: float = 0.0
     waited_s: float = 0.0
-    first_s: float | None = None
+    first_byte_s: float | None = None
     longest_pause_s: float = 0.0
     status: int = 0
-    too_late: bool = False
+    misses_deadline: bool = False
 
     @property
     def missed_target(self) -> bool:
-        """Whether the answer began late, or paused for too long."""
+        """Whether the response started late or paused for too long."""
         route = self.route
-        if self.first_s is None or self.first_s > route.target_latency_s:
+        if self.first_byte_s is None or self.first_byte_s > route.target_latency_s:
             return True
         return 0.0 < route.target_pause_s < self.longest_pause_s
 
     @property
     def patience_s(self) -> float:
-        """The time since its arrival for which its caller stays without a word."""
-        allowed_s = self.ends_at - self.request.received_at
+        """How long after its arrival the caller waits for the first byte."""
+        allowed_s = self.deadline - self.request.received_at
         return min(self.route.patience_s, allowed_s)
 
     @property
     def has_more_runs(self) -> bool:
-        """Whether the request may run once more after the run to come."""
+        """Whether the request may run once more after its next run."""
         return self.route.idempotent and self.runs + 1 < self.route.max_attempts
 
     @property
--- a/src/cassiaford/gateway/_messages.py
+++ b/src/cassiaford/gateway/_messages.py
@@ -1,4 +1,4 @@
-"""Requests, backend servers and answers, as the gateway sees them."""
+"""Requests, responses and backend servers in the gateway's own terms."""
 
 from dataclasses import dataclass, field
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A whole request from a caller.
+    """A complete request from a caller.
 
-    `received_at` is the time of its first byte, on the event loop's clock.
+    `received_at` is the arrival time of its first byte on the event loop's clock.
     """
 
     method: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that requests may share."""
+    """A part of a prompt, which several requests may share."""
 
     part_id: str
     tokens: int
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True)
 class RequestMetadata:
-    """What the headers of a request say.
+    """The metadata in the headers of a request.
 
-    `deadline_s` is the time that the caller waits, from its sending. `parts`
-    are the parts of the prompt in order, the last of them the request's own.
+    `deadline_s` is how long the caller waits after sending. `parts` are the
+    prompt's parts in order; the last one belongs to this request only.
     """
 
     attempt_id: str
@@ -51,21 +51,21 @@
 
     @property
     def is_generation(self) -> bool:
-        """Whether the request asks a model for tokens."""
+        """Whether the request is for a model's output."""
         return self.model is not None
 
     @property
     def tokens(self) -> int:
-        """The tokens that it may take in all."""
+        """The tokens of prompt and output together."""
         return self.prompt_tokens + self.output_tokens
 
 
 @dataclass(frozen=True)
 class BackendServer:
-    """An incarnation of a backend server as it has registered itself.
+    """An incarnation of a backend server, as registered.
 
-    `born` tells incarnations under one identifier apart; `versions` are the
-    weights in place, by model.
+    `started_at` is the registered start, which tells incarnations of one
+    identifier apart; `versions` are the versions of the loaded weights by model.
     """
 
     server_id: str
@@ -79,17 +79,16 @@
 
     @property
     def incarnation(self) -> tuple[str, int, str]:
-        """What no other start of any backend server shares."""
+        """The unique identity of this start of the backend server."""
         return self.server_id, self.started_at, self.address
 
 
 @dataclass(frozen=True)
 class Forwarding:
-    """What the gateway adds to a request that it passes on.
+    """What the gateway adds to a request when it sends it to a backend server.
 
-    Engines find cached prefixes only under the `cache_scope` under which they
-    were made. They fetch what they lack from `fetch_from`, and send what they
-    have read to `save_to`.
+    Engines reuse cached prefixes only of the same `cache_scope`. They fetch
+    missing prefixes from `fetch_from` and copy computed ones to `save_to`.
     """
 
     server: BackendServer
@@ -105,11 +104,11 @@
 
 @dataclass(frozen=True)
 class ResponseMetadata:
-    """What the headers of a backend server's response say.
+    """The metadata in the headers of a backend server's response.
 
-    `signed` is whether they bear the server's signature, `not_run` whether
-    the server states that it did not run the request, `misdirected` whether
-    it is not the server that was expected.
+    `signed` is whether the server's signature is present, `not_run` whether the
+    server states that it did not run the request, and `misdirected` whether it
+    is not the expected server.
     """
 
     attempt_id: str | None
--- a/src/cassiaford/gateway/_plain_handlers.py
+++ b/src/cassiaford/gateway/_plain_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of an instance's own addresses: readiness, directory, metrics."""
+"""Handlers of an instance's own resources, such as readiness and metrics."""
 
 from abc import abstractmethod
 from collections.abc import Callable
@@ -9,62 +9,62 @@
 from cassiaford.gateway._messages import HttpRequest
 
 
-class PlainHandler(RequestHandler):
-    """Answers at once, and 404 to what it does not know."""
+class ResourceHandler(RequestHandler):
+    """Responds to one resource at once, and with 404 to any other target."""
 
-    def __init__(self, requested: Callable[[str], bool]):
-        self.requested = requested
+    def __init__(self, matches: Callable[[str], bool]):
+        self.matches = matches
 
     @property
     def limits(self) -> CallerLimits:
-        """What a caller may send."""
+        """The limits on what a caller may send."""
         return CallerLimits()
 
     @property
     def closing(self) -> bool:
-        """Whether connections are to be closed after their answers."""
+        """Whether to close connections after their responses."""
         return False
 
     async def handle(self, request: HttpRequest, connection: CallerConnection) -> None:
-        """Answer one request."""
-        if self.requested(request.target):
-            self.answer(request, connection)
+        """Handle one request."""
+        if self.matches(request.target):
+            self.respond(request, connection)
         else:
             connection.send(HTTPStatus.NOT_FOUND, [])
 
     @abstractmethod
-    def answer(self, request: HttpRequest, connection: CallerConnection) -> None:
-        """Answer a request that the handler knows."""
+    def respond(self, request: HttpRequest, connection: CallerConnection) -> None:
+        """Respond to a request for the handler's resource."""
 
 
-class ProbeHandler(PlainHandler):
-    """Answers whether the instance is ready."""
+class ProbeHandler(ResourceHandler):
+    """Responds to readiness probes."""
 
-    def __init__(self, requested: Callable[[str], bool], ready: Callable[[], bool]):
-        super().__init__(requested)
+    def __init__(self, matches: Callable[[str], bool], ready: Callable[[], bool]):
+        super().__init__(matches)
         self.ready = ready
 
-    def answer(self, request, connection):
-        """Answer 200 if the instance is ready, else 503."""
+    def respond(self, request, connection):
+        """Respond with 200 if the instance is ready, else with 503."""
         ready = self.ready()
         connection.send(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, [])
 
 
-class BodyHandler(PlainHandler):
-    """Answers with a body made at that moment; 503 where there is none."""
+class BodyHandler(ResourceHandler):
+    """Responds with a body computed for each request, or 503 if there is none."""
 
     def __init__(
         self,
-        requested: Callable[[str], bool],
+        matches: Callable[[str], bool],
         body: Callable[[str], bytes | None],
         content_type: str,
     ):
-        super().__init__(requested)
+        super().__init__(matches)
         self.body = body
         self.content_type = content_type
 
-    def answer(self, request, connection):
-        """Answer with the body."""
+    def respond(self, request, connection):
+        """Respond with the body."""
         body = self.body(request.target)
         if body is None:
             connection.send(HTTPStatus.SERVICE_UNAVAILABLE, [])
--- a/src/cassiaford/gateway/_server_connection.py
+++ b/src/cassiaford/gateway/_server_connection.py
@@ -1,4 +1,4 @@
-"""Connections from the gateway to HTTP servers, and a pool of them."""
+"""Client connections to HTTP servers, and a pool of them."""
 
 import asyncio
 import collections
@@ -11,26 +11,27 @@
 from cassiaford.gateway._messages import Headers
 from cassiaford.verdict import Failure
 
-# Bytes of an answer that may wait for their reader before reading pauses.
-HIGH_WATER = 262_144
-# Within one region a connection takes milliseconds; one lost packet of its
-# opening is sent again after a second.
-CONNECT_TIME_OUT_S = 0.5
-# A peer that acknowledges nothing for this long is taken for unreachable.
-UNACKNOWLEDGED_MS = 800
-# Probes on an otherwise silent connection: first after, then every, and how many.
+# Unread bytes of a response's body at which reading from the socket pauses.
+MAX_UNREAD_BYTES = 262_144
+# Connecting takes milliseconds within a region; TCP resends a lost SYN after a
+# second, which is too late to wait for.
+CONNECT_TIMEOUT_S = 0.5
+# A peer that acknowledges nothing for this long is assumed to be unreachable.
+MAX_UNACKNOWLEDGED_MS = 800
+# TCP keep-alive on an idle connection: idle seconds before the first probe, seconds
+# between probes, and number of probes.
 KEEP_ALIVE_PROBES = (1, 1, 2)
-# A kept connection is not used in the last part of its server's time-out.
+# An idle connection is not used in the last second before its server's timeout.
 IDLE_MARGIN_S = 1.0
-# A server may close a connection right after an answer without saying so; the
-# word of it takes a round trip within the region.
-REST_S = 0.01
-# For servers that state no time-out.
-DEFAULT_IDLE_S = 4.0
+# A server may close a connection right after a response without announcing it. The
+# FIN arrives within a round trip in the region, so the connection rests this long.
+REUSE_DELAY_S = 0.01
+# Idle timeout for servers that state none.
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 
 
 class ExchangeError(Exception):
-    """An exchange with a backend server failed; `failure` says how."""
+    """An exchange with a server failed; `failure` says how."""
 
     def __init__(self, failure: Failure, detail: str = ""):
         super().__init__(detail or failure.text)
@@ -46,15 +47,15 @@
     headers: Headers
 
     def header(self, name: str) -> str | None:
-        """Return the value of a header, by its lower-case name."""
-        for known, value in self.headers:
-            if known.lower() == name:
+        """Return the value of a header by its lower-case name, or None."""
+        for header_name, value in self.headers:
+            if header_name.lower() == name:
                 return value
         return None
 
     @property
     def length(self) -> int | None:
-        """The stated length of the body."""
+        """The value of Content-Length, if valid."""
         value = self.header("content-length")
         return int(value) if value is not None and value.isdigit() else None
 
@@ -68,25 +69,25 @@
         self.parser = httptools.HttpResponseParser(self)
         self.usable = True
         self.idle_until = 0.0
-        self.rested_at = 0.0
+        self.reusable_at = 0.0
         self._waiter: asyncio.Future | None = None
         self._chunks: collections.deque[bytes] = collections.deque()
         self._buffered = 0
         self._in_exchange = False
         self._sent = False
         self._accepts: Callable[[ResponseHead], bool] | None = None
-        self._lost: Failure | None = None
+        self._failure: Failure | None = None
         self._reset_response()
 
-    # The transport's events.
+    # Transport callbacks.
 
     def connection_made(self, transport):
-        """Take the connection in."""
+        """Record the transport and enable the detection of dead peers."""
         self.transport = transport
-        _watch_peer(transport.get_extra_info("socket"))
+        _detect_dead_peer(transport.get_extra_info("socket"))
 
     def data_received(self, data):
-        """Parse bytes; those that no request waits for end the connection."""
+        """Parse bytes, or close the connection if no exchange expects them."""
         if not self._in_exchange:
             self.close()
             return
@@ -99,15 +100,15 @@
                 self.transport.abort()
 
     def eof_received(self):
-        """End an answer that its connection's end completes."""
+        """Complete a response that is delimited by the end of the connection."""
         self.usable = False
-        if self._in_exchange and self._until_close and not self._skipped:
+        if self._in_exchange and self._until_close and not self._skipping:
             self._complete = True
             self._wake()
         return False
 
     def connection_lost(self, exc):
-        """End the exchange."""
+        """Fail an exchange that is incomplete."""
         self.usable = False
         if self._in_exchange and not self._complete:
             started = self._head is not None
@@ -116,15 +117,15 @@
             )
         self._wake()
 
-    # The parser's events.
+    # Parser callbacks.
 
     def on_message_begin(self):
-        """Start a response; one too many ends the connection."""
+        """Start a response; a surplus one makes the connection unusable."""
         if self._complete:
             self.usable = False
         self._reason = ""
         self._headers = []
-        self._skipped = False
+        self._skipping = False
 
     def on_status(self, status):
         """Collect the reason phrase."""
@@ -135,14 +136,14 @@
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self):
-        """Take in the head unless it belongs to another request."""
+        """Store the head unless it is interim or belongs to another request."""
         status = self.parser.get_status_code()
         if self._complete or status < 200:
-            self._skipped = True
+            self._skipping = True
             return
         head = ResponseHead(status, self._reason, self._headers)
         if self._accepts is not None and not self._accepts(head):
-            self._skipped = True
+            self._skipping = True
             return
         self._head = head
         chunked = "chunked" in (head.header("transfer-encoding") or "").lower()
@@ -154,18 +155,18 @@
 
     def on_body(self, body):
         """Collect a part of the body."""
-        if self._skipped:
+        if self._skipping:
             return
         self._chunks.append(body)
         self._buffered += len(body)
-        if self._buffered > HIGH_WATER:
+        if self._buffered > MAX_UNREAD_BYTES:
             self.transport.pause_reading()
         self._wake()
 
     def on_message_complete(self):
-        """End the response."""
-        if self._skipped:
-            self._skipped = False
+        """Complete the response."""
+        if self._skipping:
+            self._skipping = False
             return
         self._complete = True
         self._wake()
@@ -175,32 +176,32 @@
     def start(
         self, data: bytes, accepts: Callable[[ResponseHead], bool] | None = None
     ) -> None:
-        """Send a request; responses that are not accepted are passed over."""
+        """Send a request; responses that `accepts` rejects are skipped."""
         self._in_exchange = True
         self._accepts = accepts
         self._reset_response()
         self.transport.write(data)
 
     async def head(self) -> ResponseHead:
-        """Return the head of the response once it is there."""
+        """Return the response's head; raise `ExchangeError`."""
         while self._head is None:
-            self._raise_if_lost()
+            self._raise_if_failed()
             await self._wait()
         return self._head
 
     async def chunk(self) -> bytes:
-        """Return the next bytes of the body; none are left after ``b""``."""
+        """Return the next bytes of the body, or ``b""`` at its end."""
         while not self._chunks:
             if self._complete:
                 return b""
-            self._raise_if_lost()
+            self._raise_if_failed()
             await self._wait()
-        return self._take_chunks()
+        return self._pop_chunks()
 
-    def _take_chunks(self):
+    def _pop_chunks(self):
         data = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
         self._chunks.clear()
-        if self._buffered > HIGH_WATER and self.transport is not None:
+        if self._buffered > MAX_UNREAD_BYTES and self.transport is not None:
             self.transport.resume_reading()
         self._buffered = 0
         return data
@@ -213,48 +214,48 @@
         return b"".join(parts)
 
     def finish(self) -> bool:
-        """End the exchange; return whether the connection may be kept."""
+        """End the exchange; return whether the connection may be reused."""
         complete = self._complete and self.usable and not self._until_close
         self._in_exchange = False
         self._accepts = None
         if not complete or self.transport.is_closing():
             self.close()
             return False
-        self.idle_until = self.loop.time() + self._idle_s()
-        self.rested_at = self.loop.time() + REST_S
+        self.idle_until = self.loop.time() + self._idle_timeout_s()
+        self.reusable_at = self.loop.time() + REUSE_DELAY_S
         return self.idle_until > self.loop.time()
 
     def close(self) -> None:
-        """Close the connection at once; a request on it is cancelled."""
+        """Abort the connection, which cancels a request in progress."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
 
-    def _idle_s(self):
+    def _idle_timeout_s(self):
         stated = self._head.header("keep-alive") if self._head else None
         for field in (stated or "").split(","):
             name, _, value = field.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
                 return float(value) - IDLE_MARGIN_S
-        return DEFAULT_IDLE_S
+        return DEFAULT_IDLE_TIMEOUT_S
 
     def _reset_response(self):
         self._head = None
         self._headers = []
         self._reason = ""
-        self._skipped = False
+        self._skipping = False
         self._complete = False
         self._until_close = False
         self._chunks.clear()
         self._buffered = 0
 
-    def _raise_if_lost(self):
-        if self._lost is not None:
-            raise ExchangeError(self._lost)
+    def _raise_if_failed(self):
+        if self._failure is not None:
+            raise ExchangeError(self._failure)
 
     def _fail(self, failure):
-        if self._lost is None:
-            self._lost = failure
+        if self._failure is None:
+            self._failure = failure
         self._wake()
 
     async def _wait(self):
@@ -270,26 +271,26 @@
 
 
 class ConnectionPool:
-    """Keeps connections to servers between exchanges.
+    """Keeps idle connections to servers for reuse.
 
-    `opened` counts the connections that were made.
+    `opened` counts the attempts to open a connection.
     """
 
     def __init__(self):
         self.idle: dict[str, list[ServerConnection]] = {}
         self.opened = 0
 
-    def kept(self, address: str) -> ServerConnection | None:
-        """Return a kept connection that is still good, or None."""
+    def pop_idle(self, address: str) -> ServerConnection | None:
+        """Remove and return a reusable idle connection, or return None."""
         now = asyncio.get_running_loop().time()
-        connections = self._good(address, now)
+        connections = self._usable_idle(address, now)
         for index in reversed(range(len(connections))):
-            if connections[index].rested_at <= now:
+            if connections[index].reusable_at <= now:
                 return connections.pop(index)
         return None
 
-    def _good(self, address, now):
-        """Return the kept connections to an address, and close the others."""
+    def _usable_idle(self, address, now):
+        """Return the usable idle connections to an address; close the others."""
         connections = self.idle.get(address, [])
         for connection in tuple(connections):
             if not connection.usable or connection.idle_until <= now:
@@ -298,13 +299,13 @@
         return connections
 
     async def connect(
-        self, address: str, time_out_s: float = CONNECT_TIME_OUT_S
+        self, address: str, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> ServerConnection:
-        """Return a new connection; raise `ExchangeError`."""
+        """Open a connection; raise `ExchangeError`."""
         host, _, port = address.rpartition(":")
         self.opened += 1
         try:
-            async with asyncio.timeout(time_out_s):
+            async with asyncio.timeout(timeout_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
                     ServerConnection, host, int(port)
                 )
@@ -312,54 +313,56 @@
             raise ExchangeError(Failure.CONNECT_FAILED, str(error)) from error
         return connection
 
-    async def connection(self, address: str) -> ServerConnection:
-        """Return a kept or a new connection; raise `ExchangeError`."""
-        return self.kept(address) or await self.connect(address)
+    async def acquire(self, address: str) -> ServerConnection:
+        """Return an idle or a new connection; raise `ExchangeError`."""
+        return self.pop_idle(address) or await self.connect(address)
 
-    async def unused(self, address: str) -> ServerConnection:
-        """Return a new connection in place of a kept one; raise `ExchangeError`.
+    async def acquire_new(self, address: str) -> ServerConnection:
+        """Return a new connection, closing an idle one; raise `ExchangeError`.
 
-        A server may be closing any kept connection at the moment at which a
-        request is written to it, and then no one can tell whether it was read.
+        A server may close any idle connection just as a request is written to
+        it; whether the server has read the request is then unknown.
         """
-        kept = self.kept(address)
-        if kept is not None:
-            kept.close()
+        idle = self.pop_idle(address)
+        if idle is not None:
+            idle.close()
         return await self.connect(address)
 
-    def give_back(self, address: str, connection: ServerConnection) -> None:
-        """End an exchange and keep its connection if that may be."""
+    def release(self, address: str, connection: ServerConnection) -> None:
+        """End an exchange and keep its connection for reuse if possible."""
         if connection.finish():
             self.idle.setdefault(address, []).append(connection)
 
     def add_idle(self, address: str, connection: ServerConnection) -> None:
-        """Keep a new connection for the next exchange."""
-        connection.idle_until = asyncio.get_running_loop().time() + DEFAULT_IDLE_S
+        """Add a new connection as idle."""
+        connection.idle_until = (
+            asyncio.get_running_loop().time() + DEFAULT_IDLE_TIMEOUT_S
+        )
         self.idle.setdefault(address, []).append(connection)
 
     def close_idle(self, address: str) -> None:
-        """Close the kept connections to an address."""
+        """Close the idle connections to an address."""
         for connection in self.idle.pop(address, ()):
             connection.close()
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close every idle connection."""
         for address in tuple(self.idle):
             self.close_idle(address)
 
-    def sweep(self) -> None:
-        """Close the connections that were kept for long enough."""
+    def close_expired(self) -> None:
+        """Close idle connections that are unusable or past their timeout."""
         now = asyncio.get_running_loop().time()
         for address in tuple(self.idle):
-            if not self._good(address, now):
+            if not self._usable_idle(address, now):
                 del self.idle[address]
 
 
-def _watch_peer(sock):
-    """Have the kernel find a peer that has gone silent."""
+def _detect_dead_peer(sock):
+    """Let the kernel detect a peer that no longer responds."""
     idle, interval, count = KEEP_ALIVE_PROBES
     for level, option, value in (
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, idle),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, interval),
@@ -369,7 +372,7 @@
 
 
 def request_bytes(method: str, target: str, headers: Headers, body: bytes) -> bytes:
-    """Return a request as it is sent."""
+    """Return an HTTP request as bytes."""
     lines = [f"{method} {target} HTTP/1.1\r\n"]
     lines.extend(f"{name}: {value}\r\n" for name, value in headers)
     if body or method not in ("GET", "HEAD", "DELETE"):
--- a/src/cassiaford/platform/_dialect.py
+++ b/src/cassiaford/platform/_dialect.py
@@ -60,32 +60,34 @@
             parts=_parts(headers.get("x-prompt-prefix")),
         )
 
-    def forwarded_headers(self, request: HttpRequest, facts: Forwarding) -> Headers:
+    def forwarded_headers(
+        self, request: HttpRequest, forwarding: Forwarding
+    ) -> Headers:
         """Return the headers with which a request goes to a backend server."""
         listed = _listed_by_connection(request.headers)
         dropped = _SYSTEM_HEADERS | HOP_BY_HOP | listed
-        if facts.resume_after is not None:
+        if forwarding.resume_after is not None:
             dropped |= {"last-event-id"}
         headers = [(n, v) for n, v in request.headers if n.lower() not in dropped]
-        headers.append(("X-Expect-Instance", facts.server.server_id))
-        if facts.time_left_s is not None:
-            left_ms = max(1, math.floor(facts.time_left_s * 1000))
+        headers.append(("X-Expect-Instance", forwarding.server.server_id))
+        if forwarding.time_left_s is not None:
+            left_ms = max(1, math.floor(forwarding.time_left_s * 1000))
             headers.append(("X-Deadline-Ms", str(left_ms)))
-        if facts.customer is not None:
-            headers.append(("X-Tenant", facts.customer))
-        if facts.cache_scope is not None:
-            headers.append(("X-Cache-Salt", facts.cache_scope))
-        if facts.urgency is not None:
-            urgency = min(max(facts.urgency, 0), _HIGHEST_URGENCY)
+        if forwarding.customer is not None:
+            headers.append(("X-Tenant", forwarding.customer))
+        if forwarding.cache_scope is not None:
+            headers.append(("X-Cache-Salt", forwarding.cache_scope))
+        if forwarding.urgency is not None:
+            urgency = min(max(forwarding.urgency, 0), _HIGHEST_URGENCY)
             headers.append(("X-Request-Urgency", str(urgency)))
-        if facts.expected_version is not None:
-            headers.append(("X-Expect-Version", str(facts.expected_version)))
-        if facts.fetch_from is not None:
-            headers.append(("X-Kv-Fetch", facts.fetch_from))
-        if facts.save_to is not None:
-            headers.append(("X-Kv-Save", facts.save_to))
-        if facts.resume_after is not None:
-            headers.append(("Last-Event-Id", facts.resume_after))
+        if forwarding.expected_version is not None:
+            headers.append(("X-Expect-Version", str(forwarding.expected_version)))
+        if forwarding.fetch_from is not None:
+            headers.append(("X-Kv-Fetch", forwarding.fetch_from))
+        if forwarding.save_to is not None:
+            headers.append(("X-Kv-Save", forwarding.save_to))
+        if forwarding.resume_after is not None:
+            headers.append(("Last-Event-Id", forwarding.resume_after))
         return headers
 
     def read_response(self, status: int, headers: Headers) -> ResponseMetadata:
--- a/src/cassiaford/platform/_directory.py
+++ b/src/cassiaford/platform/_directory.py
@@ -11,11 +11,11 @@
 class PlatformDirectory(Directory):
     """Answers callers that resolve a host."""
 
-    def requested(self, target: str) -> bool:
+    def matches(self, target: str) -> bool:
         """Return whether a target resolves a host."""
         return target.partition("?")[0] == "/resolve"
 
-    def answer(self, addresses: list[str], time_to_live_s: float) -> bytes:
+    def response_body(self, addresses: list[str], time_to_live_s: float) -> bytes:
         """Return the body that names addresses."""
         document = {"Addresses": addresses[:MAX_ADDRESSES], "TtlS": time_to_live_s}
         return json.dumps(document).encode()
@@ -24,6 +24,6 @@
 class PlatformProbe(ReadinessProbe):
     """Recognises the platform's readiness probe."""
 
-    def requested(self, target: str) -> bool:
+    def matches(self, target: str) -> bool:
         """Return whether a target is the probe."""
         return target.partition("?")[0] == "/readiness"
--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -72,4 +72,4 @@
         engine.busy_until = gateway.loop.time() + 60.0
         await self.ask(gateway, "/mark/1")
         line = self.line(Event.REQUEST_REFUSED)
-        self.assertRegex(line["cause"], r"the best of the others would begin in 60\.\d")
+        self.assertRegex(line["cause"], r"the best of the others would start in 60\.\d")
