--- a/src/cassiaford/platform/__init__.py
+++ b/src/cassiaford/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: it translates, and decides nothing."""
+"""The adapter for the users' platform: it translates formats, without any policy."""
 
 from cassiaford.platform._start import create_adapter, main
 
--- a/src/cassiaford/platform/_dialect.py
+++ b/src/cassiaford/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""The headers that callers, the system and backend servers use."""
+"""The platform's HTTP headers."""
 
 import math
 
@@ -14,7 +14,7 @@
     ResponseMetadata,
 )
 
-# Headers that the system sets itself; what a caller sends in them is dropped.
+# Headers that only the gateway may set; those sent by callers are dropped.
 _SYSTEM_HEADERS = frozenset(
     {
         "x-key",
@@ -34,16 +34,16 @@
         "expect",
     }
 )
-# Told to the system by backend servers, and of no use to callers.
+# Headers from backend servers to the gateway, which callers do not get.
 _SERVER_HEADERS = frozenset({"x-server-load", "x-instance-id"})
-_HIGHEST_URGENCY = 9
+_MAX_URGENCY = 9
 
 
 class PlatformDialect(Dialect):
     """Reads and writes the platform's headers."""
 
     def read_request(self, request: HttpRequest) -> RequestMetadata:
-        """Return what a caller's headers say."""
+        """Return the metadata in a caller's headers."""
         headers = {name.lower(): value for name, value in request.headers}
         attempt_id = headers.get("x-attempt-id", "")
         if not attempt_id:
@@ -63,9 +63,9 @@
     def forwarded_headers(
         self, request: HttpRequest, forwarding: Forwarding
     ) -> Headers:
-        """Return the headers with which a request goes to a backend server."""
-        listed = _listed_by_connection(request.headers)
-        dropped = _SYSTEM_HEADERS | HOP_BY_HOP | listed
+        """Return the headers of a request as sent to a backend server."""
+        listed_names = _connection_options(request.headers)
+        dropped = _SYSTEM_HEADERS | HOP_BY_HOP | listed_names
         if forwarding.resume_after is not None:
             dropped |= {"last-event-id"}
         headers = [(n, v) for n, v in request.headers if n.lower() not in dropped]
@@ -78,7 +78,7 @@
         if forwarding.cache_scope is not None:
             headers.append(("X-Cache-Salt", forwarding.cache_scope))
         if forwarding.urgency is not None:
-            urgency = min(max(forwarding.urgency, 0), _HIGHEST_URGENCY)
+            urgency = min(max(forwarding.urgency, 0), _MAX_URGENCY)
             headers.append(("X-Request-Urgency", str(urgency)))
         if forwarding.expected_version is not None:
             headers.append(("X-Expect-Version", str(forwarding.expected_version)))
@@ -91,25 +91,25 @@
         return headers
 
     def read_response(self, status: int, headers: Headers) -> ResponseMetadata:
-        """Return what the headers of a response say."""
+        """Return the metadata in a backend server's response headers."""
         fields = {name.lower(): value for name, value in headers}
         misdirected = status == 421
         return ResponseMetadata(
             attempt_id=fields.get("x-attempt-id"),
             signed="x-response-seal" in fields,
-            # A 421 is itself the statement that the request has not run.
+            # A 421 by itself states that the request has not run.
             not_run="x-not-executed" in fields or misdirected,
             misdirected=misdirected,
             server_id=fields.get("x-instance-id"),
         )
 
     def returned_headers(self, headers: Headers) -> Headers:
-        """Return the headers of a response that its caller gets."""
-        dropped = HOP_BY_HOP | _SERVER_HEADERS | _listed_by_connection(headers)
+        """Return the headers of a response as sent to the caller."""
+        dropped = HOP_BY_HOP | _SERVER_HEADERS | _connection_options(headers)
         return [(n, v) for n, v in headers if n.lower() not in dropped]
 
 
-def _listed_by_connection(headers):
+def _connection_options(headers):
     """Return the names that a Connection header makes hop-by-hop."""
     return {
         option.strip().lower()
--- a/src/cassiaford/platform/_directory.py
+++ b/src/cassiaford/platform/_directory.py
@@ -1,29 +1,29 @@
-"""The platform's questions to an instance: where to connect, and readiness."""
+"""The platform's directory lookups and readiness probes."""
 
 import json
 
 from cassiaford.gateway import Directory, ReadinessProbe
 
-# An answer names at most this many addresses.
+# Maximum number of addresses in a response.
 MAX_ADDRESSES = 64
 
 
 class PlatformDirectory(Directory):
-    """Answers callers that resolve a host."""
+    """The platform's protocol for callers that resolve a host."""
 
     def matches(self, target: str) -> bool:
-        """Return whether a target resolves a host."""
+        """Return whether a request target is a directory lookup."""
         return target.partition("?")[0] == "/resolve"
 
     def response_body(self, addresses: list[str], time_to_live_s: float) -> bytes:
-        """Return the body that names addresses."""
+        """Return the response body that lists addresses."""
         document = {"Addresses": addresses[:MAX_ADDRESSES], "TtlS": time_to_live_s}
         return json.dumps(document).encode()
 
 
 class PlatformProbe(ReadinessProbe):
-    """Recognises the platform's readiness probe."""
+    """Recognises the platform's readiness probes."""
 
     def matches(self, target: str) -> bool:
-        """Return whether a target is the probe."""
+        """Return whether a request target is the readiness probe."""
         return target.partition("?")[0] == "/readiness"
--- a/src/cassiaford/platform/_engines.py
+++ b/src/cassiaford/platform/_engines.py
@@ -1,4 +1,4 @@
-"""Reports of model engines, and orders to them."""
+"""Control calls to the platform's model engines: reports and orders."""
 
 import json
 
@@ -14,12 +14,12 @@
     VersionOrder,
     WrongServerError,
 )
-from cassiaford.platform._json import flag, parse_object, whole
+from cassiaford.platform._json import boolean, integer, parse_object
 from cassiaford.platform._records import versions_of
 
-# A report needs no slot and comes within milliseconds, over any link.
-TIME_OUT_S = 0.6
-_ANSWERS = {
+# Engines send reports within milliseconds over any link, since they take no slot.
+TIMEOUT_S = 0.6
+_RESPONSES_BY_STATUS = {
     202: OrderResponse.ACCEPTED,
     200: OrderResponse.ALREADY_LOADED,
     409: OrderResponse.CONFLICT,
@@ -29,29 +29,29 @@
 
 
 class PlatformEngineControl(EngineControl):
-    """Calls engines over HTTP."""
+    """Makes control calls to engines over HTTP."""
 
-    def __init__(self, caller: HttpClient):
-        self.caller = caller
+    def __init__(self, client: HttpClient):
+        self.client = client
 
     async def report(self, server: BackendServer) -> EngineReport:
-        """Return an engine's report."""
+        """Return the engine's report."""
         reply = await self._call("GET", server, "/report")
         if reply.status != 200:
             raise EngineCallError(f"the report has status {reply.status}")
         try:
             document = parse_object(reply.body)
-            # The field Sequence of a report counts orders, not reports.
+            # In a report, Sequence counts accepted orders, not reports.
             return EngineReport(
                 versions=versions_of(document),
-                busy=flag(document, "Busy"),
-                orders_accepted=whole(document, "Sequence"),
+                busy=boolean(document, "Busy"),
+                orders_accepted=integer(document, "Sequence"),
             )
         except MalformedError as error:
-            raise EngineCallError(f"the report is {error}") from error
+            raise EngineCallError(f"the report is malformed: {error}") from error
 
     async def order(self, server: BackendServer, order: VersionOrder) -> OrderResponse:
-        """Order an engine to load a version once its requests have ended."""
+        """Order the engine to load a version once its requests have ended."""
         body = {
             "Op": "Version",
             "Model": order.model,
@@ -63,21 +63,23 @@
         }
         data = json.dumps(body).encode()
         reply = await self._call("POST", server, "/order", data)
-        answer = _ANSWERS.get(reply.status)
-        if answer is None:
-            raise EngineCallError(f"the order was answered {reply.status}")
-        return answer
+        response = _RESPONSES_BY_STATUS.get(reply.status)
+        if response is None:
+            raise EngineCallError(
+                f"the response to the order has status {reply.status}"
+            )
+        return response
 
     async def _call(self, method, server, target, body=b""):
         headers = [("X-Expect-Instance", server.server_id)]
         if body:
             headers.append(("Content-Type", "application/json"))
         try:
-            reply = await self.caller.call(
-                method, server.address, target, TIME_OUT_S, headers, body
+            reply = await self.client.call(
+                method, server.address, target, TIMEOUT_S, headers, body
             )
         except CallFailedError as error:
             raise EngineCallError(str(error)) from error
         if reply.status == 421:
-            raise WrongServerError("another server has the address")
+            raise WrongServerError("another server has this address")
         return reply
--- a/src/cassiaford/platform/_start.py
+++ b/src/cassiaford/platform/_start.py
@@ -1,4 +1,4 @@
-"""Starting a gateway on the platform."""
+"""Starts a gateway on the platform."""
 
 import asyncio
 import os
@@ -16,31 +16,31 @@
 
 
 def create_adapter(store_address: str, pool: ConnectionPool) -> PlatformAdapter:
-    """Return what a gateway on the platform is given."""
-    caller = HttpClient(pool)
+    """Return the platform's implementations of the gateway's interfaces."""
+    client = HttpClient(pool)
     return PlatformAdapter(
         dialect=PlatformDialect(),
         records=PlatformRecordDecoder(),
         directory=PlatformDirectory(),
         probe=PlatformProbe(),
-        store=PlatformStore(store_address, caller),
-        control=PlatformEngineControl(caller),
+        store=PlatformStore(store_address, client),
+        control=PlatformEngineControl(client),
         pool=pool,
     )
 
 
 async def serve(path: pathlib.Path) -> None:
-    """Serve with the settings of a file until SIGTERM."""
+    """Serve with the settings in a file until SIGTERM."""
     settings = read_settings(path)
-    world = create_adapter(settings.store_address, ConnectionPool())
-    gateway = Gateway(settings, world, reload=lambda: read_settings(path))
+    adapter = create_adapter(settings.store_address, ConnectionPool())
+    gateway = Gateway(settings, adapter, reload=lambda: read_settings(path))
     await gateway.run()
 
 
 def main() -> None:
-    """Serve with the settings file that the environment names."""
+    """Serve with the settings file named by the environment."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
-        sys.exit(f"{PATH_VARIABLE} names no settings file")
+        sys.exit(f"{PATH_VARIABLE} must be set to the path of the settings file")
     configure_logging("json", "info", NonBlockingStream(sys.stdout.fileno()))
     asyncio.run(serve(pathlib.Path(path)))
--- a/src/cassiaford/platform/_store.py
+++ b/src/cassiaford/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store over HTTP."""
+"""A client of the platform's metadata store over HTTP."""
 
 import base64
 import binascii
@@ -24,21 +24,21 @@
     StoreRefusedError,
     Write,
 )
-from cassiaford.platform._json import flag, objects, parse_object, text, whole
+from cassiaford.platform._json import boolean, integer, objects, parse_object, string
 
-# The store answers in milliseconds; a call unanswered for this long is lost.
-TIME_OUT_S = 1.0
-_JSON = [("Content-Type", "application/json")]
-# The store states with these that it did nothing.
-_REFUSED = frozenset({400, 403, 429, 503})
+# The store responds within milliseconds; a call that takes this long is lost.
+TIMEOUT_S = 1.0
+_JSON_HEADERS = [("Content-Type", "application/json")]
+# Statuses by which the store states that a call had no effect.
+_REFUSED_STATUSES = frozenset({400, 403, 429, 503})
 
 
 class PlatformStore(SharedStore):
     """Calls the store at one address."""
 
-    def __init__(self, address: str, caller: HttpClient):
+    def __init__(self, address: str, client: HttpClient):
         self.address = address
-        self.caller = caller
+        self.client = client
 
     async def read(self, prefix: str) -> Page:
         """Return all items below a prefix, page by page."""
@@ -47,16 +47,16 @@
         revision = None
         while True:
             document = await self._get("/kv-range", query)
-            page = _decoded(_items, document, "items")
+            page = _decode(_items, document, "items")
             items.extend(page)
-            # Watching from the first page's revision misses nothing.
-            revision = revision or _decoded(whole, document, "StoreRevision")
-            if not page or not _decoded(flag, document, "Truncated"):
+            # A watch from the first page's revision misses no change.
+            revision = revision or _decode(integer, document, "StoreRevision")
+            if not page or not _decode(boolean, document, "Truncated"):
                 return Page(tuple(items), revision)
             query["after"] = page[-1].key
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Return the changes after a revision, as soon as there is one."""
+        """Return the changes after a revision, waiting for the first one."""
         query = {
             "PathPrefix": prefix,
             "after": str(after),
@@ -64,8 +64,8 @@
         }
         document = await self._get("/kv-watch", query, wait_s)
         return Changes(
-            _decoded(_changes, document, "Events"),
-            _decoded(whole, document, "StoreRevision"),
+            _decode(_changes, document, "Events"),
+            _decode(integer, document, "StoreRevision"),
         )
 
     async def transact(
@@ -83,22 +83,22 @@
         return await self._commit(conditions, puts, [])
 
     async def remove(self, key: str, revision: int) -> Committed | Conflict:
-        """Remove a key if it still has a revision."""
+        """Remove a key if it still has the given revision."""
         return await self._commit((Condition(key, revision),), [], [key])
 
     async def grant_lease(self, time_to_live_s: float) -> int:
-        """Return a new lease."""
+        """Grant and return a new lease."""
         body = {"TtlMs": round(time_to_live_s * 1000)}
         document = await self._post("/kv-lease", body)
-        return _decoded(whole, document, "Lease")
+        return _decode(integer, document, "Lease")
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        await self._post(f"/kv-keep/{lease}", {}, ends_with_404=True)
+        await self._post(f"/kv-keep/{lease}", {}, lease_may_have_ended=True)
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and remove what was written under it."""
-        await self._call("DELETE", f"/kv-lease-end/{lease}", b"", TIME_OUT_S)
+        """End a lease and remove the keys written under it."""
+        await self._call("DELETE", f"/kv-lease-end/{lease}", b"", TIMEOUT_S)
 
     async def _commit(self, conditions, puts, removed):
         body = {
@@ -107,34 +107,36 @@
             "Remove": removed,
         }
         data = json.dumps(body).encode()
-        reply = await self._call("POST", "/kv-txn", data, TIME_OUT_S)
+        reply = await self._call("POST", "/kv-txn", data, TIMEOUT_S)
         if reply.status == 404:
             raise LeaseEndedError("the transaction's lease has ended")
         if reply.status == 412:
-            return Conflict(_decoded(_items, _document(reply), "items"))
+            return Conflict(_decode(_items, _document(reply), "items"))
         _check(reply)
-        return Committed(_decoded(whole, _document(reply), "Revision"))
+        return Committed(_decode(integer, _document(reply), "Revision"))
 
     async def _get(self, path, query, wait_s=0.0):
         target = f"{path}?{urlencode(query, quote_via=quote, safe='/')}"
-        reply = await self._call("GET", target, b"", TIME_OUT_S + wait_s)
+        reply = await self._call("GET", target, b"", TIMEOUT_S + wait_s)
         if reply.status == 410:
-            raise HistoryLostError("the store has dropped this history")
+            raise HistoryLostError(
+                "the store no longer has the changes after this revision"
+            )
         _check(reply)
         return _document(reply)
 
-    async def _post(self, path, body, ends_with_404=False):
-        reply = await self._call("POST", path, json.dumps(body).encode(), TIME_OUT_S)
-        if ends_with_404 and reply.status == 404:
+    async def _post(self, path, body, lease_may_have_ended=False):
+        reply = await self._call("POST", path, json.dumps(body).encode(), TIMEOUT_S)
+        if lease_may_have_ended and reply.status == 404:
             raise LeaseEndedError("the lease has ended")
         _check(reply)
         return _document(reply)
 
-    async def _call(self, method, target, body, time_out_s) -> Reply:
-        headers = _JSON if body else []
+    async def _call(self, method, target, body, timeout_s) -> Reply:
+        headers = _JSON_HEADERS if body else []
         try:
-            return await self.caller.call(
-                method, self.address, target, time_out_s, headers, body
+            return await self.client.call(
+                method, self.address, target, timeout_s, headers, body
             )
         except CallFailedError as error:
             kind = StoreError if error.sent else StoreRefusedError
@@ -144,22 +146,24 @@
 def _check(reply):
     if reply.status == 200:
         return
-    kind = StoreRefusedError if reply.status in _REFUSED else StoreError
-    raise kind(f"the store answered {reply.status}")
+    kind = StoreRefusedError if reply.status in _REFUSED_STATUSES else StoreError
+    raise kind(f"the store's response has status {reply.status}")
 
 
 def _document(reply):
     try:
         return parse_object(reply.body)
     except MalformedError as error:
-        raise StoreError(f"the store's answer is {error}") from error
+        raise StoreError(f"the store's response is malformed: {error}") from error
 
 
-def _decoded(decode, document, name):
+def _decode(decode, document, name):
     try:
         return decode(document, name)
     except (MalformedError, binascii.Error) as error:
-        raise StoreError(f"the store's answer has an unknown form: {error}") from error
+        raise StoreError(
+            f"the store's response has an unknown format: {error}"
+        ) from error
 
 
 def _items(document, name):
@@ -170,11 +174,11 @@
     changes = []
     for entry in objects(document, name):
         item = None if entry.get("Removed") else _item(entry)
-        revision = whole(entry, "Revision")
-        changes.append(Change(text(entry, "Key"), revision, item))
+        revision = integer(entry, "Revision")
+        changes.append(Change(string(entry, "Key"), revision, item))
     return tuple(changes)
 
 
 def _item(entry):
-    value = base64.b64decode(text(entry, "Value"), validate=True)
-    return Item(text(entry, "Key"), value, whole(entry, "Revision", 0))
+    value = base64.b64decode(string(entry, "Value"), validate=True)
+    return Item(string(entry, "Key"), value, integer(entry, "Revision", 0))
--- a/src/serve_on_platform.py
+++ b/src/serve_on_platform.py
@@ -1,4 +1,4 @@
-"""Starts a gateway on the users' platform, from a checkout."""
+"""Starts a gateway on the users' platform from a source checkout."""
 
 from cassiaford.platform import main
 
