--- a/src/cassiaford/gateway/_gauges.py
+++ b/src/cassiaford/gateway/_gauges.py
@@ -24,8 +24,8 @@
     fractions = gateway.rates.remaining_fractions()
     yield "customers_over_rate", sum(fraction <= 0.0 for fraction in fractions)
     yield "rate_left_least_share", min(fractions, default=1.0)
-    budgets = gateway.front.parts.budgets.values()
-    instances = gateway.front.instances()
+    budgets = gateway.front.context.budgets.values()
+    instances = gateway.front.instance_count()
     remaining = [budget.remaining(now, instances) for budget in budgets]
     yield "resends_left_least", min(remaining, default=0.0)
 
--- a/src/cassiaford/platform/_dialect.py
+++ b/src/cassiaford/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""The headers that callers, the system and backend servers use."""
+"""The platform's HTTP headers."""
 
 import math
 
@@ -14,7 +14,7 @@
     ResponseMetadata,
 )
 
-# Headers that the system sets itself; what a caller sends in them is dropped.
+# Headers that only the gateway may set; those sent by callers are dropped.
 _SYSTEM_HEADERS = frozenset(
     {
         "x-key",
@@ -34,16 +34,16 @@
         "expect",
     }
 )
-# Told to the system by backend servers, and of no use to callers.
+# Headers from backend servers to the gateway, which callers do not get.
 _SERVER_HEADERS = frozenset({"x-server-load", "x-instance-id"})
-_HIGHEST_URGENCY = 9
+_MAX_URGENCY = 9
 
 
 class PlatformDialect(Dialect):
     """Reads and writes the platform's headers."""
 
     def read_request(self, request: HttpRequest) -> RequestMetadata:
-        """Return what a caller's headers say."""
+        """Return the metadata in a caller's headers."""
         headers = {name.lower(): value for name, value in request.headers}
         attempt_id = headers.get("x-attempt-id", "")
         if not attempt_id:
@@ -60,54 +60,56 @@
             parts=_parts(headers.get("x-prompt-prefix")),
         )
 
-    def forwarded_headers(self, request: HttpRequest, facts: Forwarding) -> Headers:
-        """Return the headers with which a request goes to a backend server."""
-        listed = _listed_by_connection(request.headers)
-        dropped = _SYSTEM_HEADERS | HOP_BY_HOP | listed
-        if facts.resume_after is not None:
+    def forwarded_headers(
+        self, request: HttpRequest, forwarding: Forwarding
+    ) -> Headers:
+        """Return the headers of a request as sent to a backend server."""
+        listed_names = _connection_options(request.headers)
+        dropped = _SYSTEM_HEADERS | HOP_BY_HOP | listed_names
+        if forwarding.resume_after is not None:
             dropped |= {"last-event-id"}
         headers = [(n, v) for n, v in request.headers if n.lower() not in dropped]
-        headers.append(("X-Expect-Instance", facts.server.server_id))
-        if facts.time_left_s is not None:
-            left_ms = max(1, math.floor(facts.time_left_s * 1000))
+        headers.append(("X-Expect-Instance", forwarding.server.server_id))
+        if forwarding.time_left_s is not None:
+            left_ms = max(1, math.floor(forwarding.time_left_s * 1000))
             headers.append(("X-Deadline-Ms", str(left_ms)))
-        if facts.customer is not None:
-            headers.append(("X-Tenant", facts.customer))
-        if facts.cache_scope is not None:
-            headers.append(("X-Cache-Salt", facts.cache_scope))
-        if facts.urgency is not None:
-            urgency = min(max(facts.urgency, 0), _HIGHEST_URGENCY)
+        if forwarding.customer is not None:
+            headers.append(("X-Tenant", forwarding.customer))
+        if forwarding.cache_scope is not None:
+            headers.append(("X-Cache-Salt", forwarding.cache_scope))
+        if forwarding.urgency is not None:
+            urgency = min(max(forwarding.urgency, 0), _MAX_URGENCY)
             headers.append(("X-Request-Urgency", str(urgency)))
-        if facts.expected_version is not None:
-            headers.append(("X-Expect-Version", str(facts.expected_version)))
-        if facts.fetch_from is not None:
-            headers.append(("X-Kv-Fetch", facts.fetch_from))
-        if facts.save_to is not None:
-            headers.append(("X-Kv-Save", facts.save_to))
-        if facts.resume_after is not None:
-            headers.append(("Last-Event-Id", facts.resume_after))
+        if forwarding.expected_version is not None:
+            headers.append(("X-Expect-Version", str(forwarding.expected_version)))
+        if forwarding.fetch_from is not None:
+            headers.append(("X-Kv-Fetch", forwarding.fetch_from))
+        if forwarding.save_to is not None:
+            headers.append(("X-Kv-Save", forwarding.save_to))
+        if forwarding.resume_after is not None:
+            headers.append(("Last-Event-Id", forwarding.resume_after))
         return headers
 
     def read_response(self, status: int, headers: Headers) -> ResponseMetadata:
-        """Return what the headers of a response say."""
+        """Return the metadata in a backend server's response headers."""
         fields = {name.lower(): value for name, value in headers}
         misdirected = status == 421
         return ResponseMetadata(
             attempt_id=fields.get("x-attempt-id"),
             signed="x-response-seal" in fields,
-            # A 421 is itself the statement that the request has not run.
+            # A 421 by itself states that the request has not run.
             not_run="x-not-executed" in fields or misdirected,
             misdirected=misdirected,
             server_id=fields.get("x-instance-id"),
         )
 
     def returned_headers(self, headers: Headers) -> Headers:
-        """Return the headers of a response that its caller gets."""
-        dropped = HOP_BY_HOP | _SERVER_HEADERS | _listed_by_connection(headers)
+        """Return the headers of a response as sent to the caller."""
+        dropped = HOP_BY_HOP | _SERVER_HEADERS | _connection_options(headers)
         return [(n, v) for n, v in headers if n.lower() not in dropped]
 
 
-def _listed_by_connection(headers):
+def _connection_options(headers):
     """Return the names that a Connection header makes hop-by-hop."""
     return {
         option.strip().lower()
