--- a/src/cassiaford/gateway/_event_log.py
+++ b/src/cassiaford/gateway/_event_log.py
@@ -20,7 +20,7 @@
         self.incarnation = incarnation
         self.configuration_version = 0
         self.dropped = 0
-        self._allowed_lines = BURST_LINES
+        self._level = BURST_LINES
         self._updated_at = time.monotonic()
         self._sampled = itertools.count()
 
@@ -28,12 +28,12 @@
         """Write one line; details must contain neither a key nor a prompt."""
         now = time.monotonic()
         earned = (now - self._updated_at) * LINES_PER_S
-        self._allowed_lines = min(BURST_LINES, self._allowed_lines + earned)
+        self._level = min(BURST_LINES, self._level + earned)
         self._updated_at = now
-        if self._allowed_lines < 1.0:
+        if self._level < 1.0:
             self.dropped += 1
             return
-        self._allowed_lines -= 1.0
+        self._level -= 1.0
         fields = {
             "instance": self.instance,
             "configuration": self.configuration_version,
--- a/src/cassiaford/gateway/_mirror.py
+++ b/src/cassiaford/gateway/_mirror.py
@@ -22,7 +22,7 @@
 # A watch without changes returns after this time. The kernel's keep-alive
 # probes detect a silent connection sooner.
 WATCH_TIMEOUT_S = 20.0
-# Changes within this time of each other are fetched together.
+# Delay after a change, so that the changes that follow are fetched together.
 BATCH_WINDOW_S = 0.25
 # The delay after a failed call doubles with each further failure.
 FIRST_RETRY_DELAY_S = 0.1
--- a/src/cassiaford/gateway/_orders.py
+++ b/src/cassiaford/gateway/_orders.py
@@ -47,7 +47,12 @@
 
 
 class Orderer:
-    """Competes for the orderer's lease, and orders engines while it holds it."""
+    """Competes for the orderer's lease, and orders engines while it holds it.
+
+    The gateway sets the attributes that are functions: `running_tokens` and
+    `unstarted` return the load of an engine, `unreachable` the engines that
+    cannot be reached, and `demand` the number of engines that prompts keep busy.
+    """
 
     def __init__(
         self,
--- a/src/cassiaford/gateway/_peers.py
+++ b/src/cassiaford/gateway/_peers.py
@@ -35,7 +35,11 @@
 
 
 class PeerReports(asyncio.DatagramProtocol):
-    """Sends reports to peers, and applies the reports received from them."""
+    """Sends reports to peers, and applies the reports received from them.
+
+    The gateway sets the callbacks, and `revision`, which returns the revision
+    of this instance's copy of the store.
+    """
 
     def __init__(
         self,
--- a/src/cassiaford/gateway/_placer.py
+++ b/src/cassiaford/gateway/_placer.py
@@ -57,7 +57,8 @@
     """Chooses backend servers, and tracks what was sent to them.
 
     `weights_grace_s` is the time after which no request may start on weights
-    that were replaced.
+    that were replaced. The gateway sets `store_reachable_since`, which returns
+    whether the store has been reachable since a time.
     """
 
     def __init__(
--- a/src/cassiaford/gateway/_store.py
+++ b/src/cassiaford/gateway/_store.py
@@ -115,7 +115,7 @@
         """Remove a key if it still has a revision."""
 
     @abstractmethod
-    async def grant_lease(self, ttl_s: float) -> int:
+    async def grant_lease(self, time_to_live_s: float) -> int:
         """Create a lease and return its identifier."""
 
     @abstractmethod
--- a/src/cassiaford/gateway/_view.py
+++ b/src/cassiaford/gateway/_view.py
@@ -26,7 +26,11 @@
 
 
 class View(MirrorListener):
-    """The configuration in force, the backend servers, and the named versions."""
+    """The configuration in force, the backend servers, and the named versions.
+
+    `replaced_keys` are the servers whose address another server has taken over
+    before their entries are gone. The gateway sets the callbacks.
+    """
 
     def __init__(self, decoder: RecordDecoder, rates: FleetRates, log: EventLog):
         self.decoder = decoder
@@ -92,6 +96,7 @@
         elif change.key.startswith(decoder.servers_prefix):
             self._apply_server(change)
         else:
+            # All other keys are the gateways' own.
             self.on_own_key_changed(change)
 
     def _configure(self, configuration):
--- a/src/cassiaford/gateway/peers.capnp
+++ b/src/cassiaford/gateway/peers.capnp
@@ -5,10 +5,10 @@
 
 struct Work {
   server @0 :UInt32;        # digest of the backend server's incarnation
-  retired1 @1 :UInt32;
+  retired1 @1 :UInt32;      # no longer used
   running @2 :UInt16;
   tokens @3 :UInt32;        # of the running requests
-  retired4 @4 :Int16;
+  retired4 @4 :Int16;       # no longer used
   unstarted @5 :UInt16;     # running requests without a first token
   readTokens @6 :UInt64;    # prefill tokens placed since the sender's start
 }
@@ -44,7 +44,7 @@
   readSpeed @15 :UInt32;    # the sender's estimate, in prefill tokens a second
 }
 
-# An instance's copy of a part of the store, for a peer that cannot reach it.
+# An instance's copy of a part of the store, for a peer whose calls to the store fail.
 struct Item {
   key @0 :Text;
   value @1 :Data;
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -197,7 +197,7 @@
         names = {2: 1.0, 3: 3.4, 4: 5.8, 5: 8.2}
         versions, _, lag = self.simulate(names, load_s=0.5, until_s=16.0)
         self.assertEqual(set(versions.values()), {5})
-        # No request may begin on weights replaced for over six seconds.
+        # No request may start on weights replaced for over six seconds.
         self.assertLess(lag, 5.0)
 
     def test_a_version_replaced_before_an_engines_turn_is_never_loaded(self):
