--- a/src/cassiaford/policy/__init__.py
+++ b/src/cassiaford/policy/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions without clock, socket, thread or global randomness.
+"""Decision logic without clocks, sockets, threads or global randomness.
 
-Time comes in as seconds on a monotonic clock, randomness as a seeded
-`random.Random`; messages go in and actions come out as frozen data classes.
+Callers pass the time, in seconds on a monotonic clock, and a seeded
+`random.Random`. Messages and actions are frozen data classes.
 """
 
 from cassiaford.policy._buckets import (
--- a/src/cassiaford/policy/_buckets.py
+++ b/src/cassiaford/policy/_buckets.py
@@ -1,8 +1,8 @@
 """A token bucket.
 
-Over any span T it gives at most its level at the start and rate * T tokens,
-so buckets whose rates and capacities add up to a customer's rate and burst
-keep that customer's limits together.
+Over any span T it releases at most its level at the start plus rate * T
+tokens. Buckets whose rates and capacities add up to a customer's rate and
+burst therefore enforce that customer's limits together.
 """
 
 
@@ -26,13 +26,13 @@
         self.updated_at = now
 
     def advance(self, now: float) -> None:
-        """Accrue the tokens of the time since the last call."""
+        """Add the tokens that accrued since the last call."""
         elapsed = max(0.0, now - self.updated_at)
         self.level = min(self.capacity, self.level + self.rate * elapsed)
         self.updated_at = max(now, self.updated_at)
 
     def take(self, tokens: float, now: float) -> bool:
-        """Take tokens if the level allows it; return whether it did."""
+        """Take tokens if the bucket has enough; return whether it had."""
         self.advance(now)
         if tokens > self.level:
             return False
@@ -40,12 +40,12 @@
         return True
 
     def give(self, tokens: float, now: float) -> None:
-        """Add tokens that were not used, or subtract if negative."""
+        """Add tokens that were not used, or subtract them if negative."""
         self.advance(now)
         self.level = min(self.capacity, self.level + tokens)
 
     def resize(self, rate: float, capacity: float, now: float) -> None:
-        """Change rate and capacity; tokens above the capacity are lost."""
+        """Change rate and capacity; discard tokens above the capacity."""
         self.advance(now)
         self.rate = rate
         self.capacity = capacity
--- a/src/cassiaford/policy/_claim_segments.py
+++ b/src/cassiaford/policy/_claim_segments.py
@@ -1,9 +1,9 @@
 """Sealed segments: the older, ended claims of a shard.
 
-A shard's value holds the claims that run and the latest that ended. When the
-ended ones grow too many they are written, once and for good, to a segment of
-their own, and the shard only names it. An instance keeps eight bytes of each
-sealed claim's key, and reads a segment again in the rare case of a match.
+A shard's value holds the running claims and those that ended last. Once the
+ended ones exceed a size they are moved to an immutable segment, which the
+shard refers to by name. An instance keeps eight bytes of each sealed claim's
+key in memory and reads a segment again only if those match.
 """
 
 import array
@@ -14,13 +14,13 @@
 
 from cassiaford.policy._claims import CLOCK_SKEW_S, RETENTION_S, ClaimRecord
 
-KEY_DIGITS = 16
-CACHED_SEGMENTS = 4
+KEY_PREFIX_DIGITS = 16
+MAX_CACHED_SEGMENTS = 4
 
 
 @dataclass(frozen=True)
 class SealedSegment:
-    """The name of a segment and when its newest record was written."""
+    """A reference to a segment: its name and when its newest record was written."""
 
     name: str
     newest: float
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class ShardState:
-    """What the value of a shard holds."""
+    """The decoded value of a shard."""
 
     records: Mapping[str, ClaimRecord] = field(default_factory=dict)
     sealed: tuple[SealedSegment, ...] = ()
 
 
 class SegmentIndex:
-    """The sealed segments of a shard, as far as an instance has read them."""
+    """An index of the keys in a shard's segments, with a cache of their records."""
 
     def __init__(self):
         self.sealed = ()
@@ -47,43 +47,43 @@
         self._cached = collections.OrderedDict()
 
     def replace(self, sealed: tuple[SealedSegment, ...]) -> None:
-        """Take in which segments the shard names."""
+        """Set the segments that the shard refers to."""
         self.sealed = sealed
         names = {segment.name for segment in sealed}
         self._keys = {n: keys for n, keys in self._keys.items() if n in names}
 
     def load(self, name: str, records: Mapping[str, ClaimRecord]) -> None:
-        """Take in the records of a segment."""
-        self._keys[name] = array.array("Q", sorted(map(_number, records)))
+        """Index the records of a segment and cache them."""
+        self._keys[name] = array.array("Q", sorted(map(_key_prefix, records)))
         self._cached[name] = dict(records)
         self._cached.move_to_end(name)
-        while len(self._cached) > CACHED_SEGMENTS:
+        while len(self._cached) > MAX_CACHED_SEGMENTS:
             self._cached.popitem(last=False)
 
-    def to_read(self, key: str) -> str | None:
-        """Return a segment to be read before a key can be looked up."""
+    def segment_to_read(self, key: str) -> str | None:
+        """Return a segment that must be read before a key is looked up, if any."""
         for segment in self.sealed:
             name = segment.name
             if name not in self._keys:
                 return name
-            if name not in self._cached and self._may_hold(name, key):
+            if name not in self._cached and self._may_contain(name, key):
                 return name
         return None
 
     def find(self, key: str) -> ClaimRecord | None:
-        """Return the sealed record of a key, if its segment is at hand."""
+        """Return the sealed record of a key, if its segment is cached."""
         for segment in reversed(self.sealed):
             record = self._cached.get(segment.name, {}).get(key)
             if record is not None:
                 return record
         return None
 
-    def _may_hold(self, name, key):
+    def _may_contain(self, name, key):
         keys = self._keys[name]
-        number = _number(key)
-        position = bisect.bisect_left(keys, number)
-        return position < len(keys) and keys[position] == number
+        prefix = _key_prefix(key)
+        position = bisect.bisect_left(keys, prefix)
+        return position < len(keys) and keys[position] == prefix
 
 
-def _number(key):
-    return int(key[:KEY_DIGITS], 16)
+def _key_prefix(key):
+    return int(key[:KEY_PREFIX_DIGITS], 16)
--- a/src/cassiaford/policy/_claim_steps.py
+++ b/src/cassiaford/policy/_claim_steps.py
@@ -1,4 +1,4 @@
-"""The calls that a shard of claims asks for, and the answers it gives."""
+"""The calls that a claim shard requests, and the answers that it returns."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 )
 from cassiaford.verdict import Refusal, RefusalReason, Verdict, refuse
 
-# After this time a run that has not been recorded is taken for lost.
+# A run whose outcome is not recorded within this time is considered lost.
 MAX_RUN_S = 660.0
 IN_PROGRESS_RETRY_S = 1.0
 # The service deletes a segment once its records have expired everywhere.
@@ -29,17 +29,17 @@
     answer: ClaimAnswer
 
 
-Answers = tuple[ResolvedClaim, ...]
+Resolved = tuple[ResolvedClaim, ...]
 
 
 @dataclass(frozen=True)
 class ReadShard:
-    """Asks the shell to read the shard."""
+    """A request to the caller to read the shard."""
 
 
 @dataclass(frozen=True)
 class WriteShard:
-    """Asks the shell to write the shard by compare-and-swap."""
+    """A request to the caller to write the shard by compare-and-swap."""
 
     state: ShardState
     version: int
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True)
 class ReadSegment:
-    """Asks the shell to read a sealed segment."""
+    """A request to the caller to read a sealed segment."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class WriteSegment:
-    """Asks the shell to create a segment, to be deleted after `ttl_s`."""
+    """A request to the caller to create a segment, to be deleted after `ttl_s`."""
 
     name: str
     records: Mapping[str, ClaimRecord]
@@ -64,20 +64,20 @@
 Step = ReadShard | WriteShard | ReadSegment | WriteSegment
 
 
-def second_arrival(
-    standing: ClaimRecord, record: ClaimRecord, holder_gone: bool
+def repeat_answer(
+    existing: ClaimRecord, record: ClaimRecord, holder_gone: bool
 ) -> RecordedOutcome | Refusal:
-    """Return what an arrival is told whose key another one has claimed."""
-    if standing.fingerprint != record.fingerprint:
+    """Return the answer to an arrival whose key another arrival has claimed."""
+    if existing.fingerprint != record.fingerprint:
         return refuse(
             RefusalReason.KEY_REUSED,
             "the idempotency key was used with another request",
         )
-    if standing.state is ClaimState.ENDED:
-        return _recorded(standing)
-    # Nobody is left to record how the work of a lost claim ended.
-    if holder_gone or record.written_at > standing.written_at + MAX_RUN_S:
-        return _unknown()
+    if existing.state is ClaimState.ENDED:
+        return _recorded_answer(existing)
+    # If the claiming process is gone, nothing will record the outcome any more.
+    if holder_gone or record.written_at > existing.written_at + MAX_RUN_S:
+        return _unknown_outcome()
     return Refusal(
         RefusalReason.IN_PROGRESS,
         Verdict.MAY_HAVE_RUN,
@@ -86,19 +86,19 @@
     )
 
 
-def _recorded(standing):
-    if standing.verdict is not Verdict.RAN:
-        return _unknown()
+def _recorded_answer(existing):
+    if existing.verdict is not Verdict.RAN:
+        return _unknown_outcome()
     return RecordedOutcome(
-        standing.request_id,
-        standing.status,
-        standing.content_type,
-        standing.body,
-        standing.body_kept,
+        existing.request_id,
+        existing.status,
+        existing.content_type,
+        existing.body,
+        existing.body_kept,
     )
 
 
-def _unknown():
+def _unknown_outcome():
     return Refusal(
         RefusalReason.OUTCOME_UNKNOWN,
         Verdict.MAY_HAVE_RUN,
--- a/src/cassiaford/policy/_claims.py
+++ b/src/cassiaford/policy/_claims.py
@@ -1,19 +1,19 @@
-"""Claims on requests that run at most once.
-
-A request that may not be repeated is claimed by compare-and-swap before its
-first byte leaves for a backend server. The claims of a customer stand in one
-value (its shard) of the key-value service, and one write carries every claim
-and outcome that arrived while the previous one was under way.
-
-A claim carries a nonce. A write of which the answer was lost is made again
-with the same nonce: whoever then finds its own nonce holds the claim, whether
-the first write took effect or the second. A record of which the nonce is not
-its own is never taken over.
-
-A refusal's verdict speaks of the request that key and fingerprint name, over
-all its arrivals that this instance can know of. The one exception is stated in
-its message: while the service is down, *not run* speaks of this arrival alone,
-and the caller is to ask again with the same key.
+"""Claims, by which requests run at most once.
+
+A request that must not be repeated is claimed by compare-and-swap before its
+first byte is sent to a backend server. The claims of a customer are stored in
+one value (its shard) of the key-value service, and one write carries all the
+claims and outcomes that arrived during the previous write.
+
+A claim carries a nonce. A write whose response was lost is repeated with the
+same nonce: an instance that then finds its own nonce holds the claim, whether
+the first or the second write took effect. A record with another nonce is never
+taken over.
+
+The verdict of a refusal covers every arrival of the request (identified by key
+and fingerprint) that this instance can know of. One exception is stated in its
+message: while the service is down, *not run* covers this arrival only, and the
+caller should retry with the same key.
 """
 
 import enum
@@ -21,15 +21,15 @@
 
 from cassiaford.verdict import Refusal, RefusalReason, Verdict, refuse
 
-# A claim or outcome is kept at least this long after it was last written, as
-# long as the clocks of the instances differ by less than CLOCK_SKEW_S.
+# A claim or outcome is kept at least this long after its last write, provided
+# that the instances' clocks differ by less than CLOCK_SKEW_S.
 RETENTION_S = 900.0
 CLOCK_SKEW_S = 60.0
 MAX_BODY_BYTES = 4096
 
 
 class ClaimState(enum.Enum):
-    """How far the work of a claim has come, as far as it is recorded."""
+    """The recorded progress of a claimed request."""
 
     RUNNING = "running"
     ENDED = "ended"
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True)
 class ClaimRecord:
-    """One claim as it stands in a shard.
+    """One claim as stored in a shard.
 
     `key` is a digest over customer and idempotency key. `written_at` is in
-    seconds since the epoch. `body_kept` is false if the answer was too large
-    to keep.
+    seconds since the epoch. `body_kept` is false if the response was too large
+    to store.
     """
 
     key: str
@@ -71,11 +71,12 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """The right to run a request, once.
+    """The right to run a request once.
 
-    `start_by` is in seconds on the monotonic clock of the claiming instance:
-    the first byte may not leave later, since a process that was paused for
-    longer than the retention could otherwise run what another has run.
+    `start_by` is the latest time at which the first byte may be sent, in
+    seconds on the claiming instance's monotonic clock. Without it, a process
+    that was paused for longer than the retention could repeat a request that
+    another instance has run.
     """
 
     shard: str
@@ -91,8 +92,8 @@
 class RecordedOutcome:
     """The outcome of an earlier arrival of the same request, which has run.
 
-    If `body_kept` is false, the answer was too large and only its status is
-    known.
+    If `body_kept` is false, the response was too large to store and only its
+    status is known.
     """
 
     request_id: str
@@ -116,7 +117,7 @@
 
 
 def released_record(record: ClaimRecord) -> ClaimRecord:
-    """Return the record that releases a claim, which then counts as not run."""
+    """Return the record that releases a claim, so that it counts as not run."""
     return replace(record, state=ClaimState.ENDED, verdict=Verdict.NOT_RUN)
 
 
@@ -128,15 +129,15 @@
     body: bytes,
     wall: float,
 ) -> ClaimRecord:
-    """Return the record of how the work of a claim ended."""
-    keep = len(body) <= MAX_BODY_BYTES
+    """Return the record of a claimed request's outcome."""
+    fits = len(body) <= MAX_BODY_BYTES
     return replace(
         claim.record,
         state=ClaimState.ENDED,
         verdict=verdict,
         status=status,
         content_type=content_type,
-        body=body if keep else b"",
-        body_kept=keep,
+        body=body if fits else b"",
+        body_kept=fits,
         written_at=wall,
     )
--- a/src/cassiaford/policy/_departures.py
+++ b/src/cassiaford/policy/_departures.py
@@ -1,9 +1,9 @@
-"""Which incarnations of instances are certainly gone.
+"""Detection of instance incarnations that have certainly ended.
 
-Silence does not tell a dead process from a paused one or a cut network. A
-process is certainly gone once it has said goodbye, once a later incarnation
-has started under its name, or once the platform's list has gone without it for
-longer than the list lags.
+Silence does not distinguish a dead process from a paused one or a network
+partition. A process has certainly ended once it has announced that it leaves,
+once a later incarnation has started under its name, or once it has been
+missing from the platform's list for longer than the list lags.
 """
 
 from collections.abc import Iterable
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True, order=True)
 class Departure:
-    """An incarnation of an instance that runs no more."""
+    """An incarnation of an instance that has ended."""
 
     instance: str
     incarnation: int
 
 
 class Departures:
-    """Tells departures from silence.
+    """Tracks which incarnations are live, silent or departed.
 
     `list_lag_s` is the longest time in seconds by which the platform's list
-    is late.
+    lags behind the actual state.
 
     Examples
     --------
@@ -41,7 +41,7 @@
         self.departed: set[Departure] = set()
 
     def record_live(self, instance: str, incarnation: int) -> tuple[Departure, ...]:
-        """Take note of a live incarnation; return what departed by it."""
+        """Record a live incarnation; return the departure that it implies, if any."""
         before = self.newest.get(instance)
         if before is not None and incarnation < before:
             return ()
@@ -50,33 +50,33 @@
         self.unlisted_since.pop(instance, None)
         if before is None or before == incarnation:
             return ()
-        return self._depart(instance, before)
+        return self._record_departure(instance, before)
 
     def record_silence(self, instance: str) -> None:
-        """Take note that an instance is not heard, which proves nothing."""
+        """Record that an instance is silent, which does not prove a departure."""
         self.live.discard(instance)
 
     def record_leave(self, instance: str, incarnation: int) -> tuple[Departure, ...]:
-        """Take note of a goodbye."""
+        """Record that an incarnation has announced that it leaves."""
         self.live.discard(instance)
-        return self._depart(instance, incarnation)
+        return self._record_departure(instance, incarnation)
 
     def record_listing(
         self, instances: Iterable[str], now: float
     ) -> tuple[Departure, ...]:
-        """Take in an answer of the platform's list."""
-        present = set(instances)
+        """Record the instances on the platform's list; return new departures."""
+        listed = set(instances)
         departed = []
         for instance, incarnation in self.newest.items():
-            if instance in present or instance in self.live:
+            if instance in listed or instance in self.live:
                 self.unlisted_since.pop(instance, None)
                 continue
-            since = self.unlisted_since.setdefault(instance, now)
-            if now - since > self.list_lag_s:
-                departed.extend(self._depart(instance, incarnation))
+            unlisted_since = self.unlisted_since.setdefault(instance, now)
+            if now - unlisted_since > self.list_lag_s:
+                departed.extend(self._record_departure(instance, incarnation))
         return tuple(departed)
 
-    def _depart(self, instance, incarnation):
+    def _record_departure(self, instance, incarnation):
         departure = Departure(instance, incarnation)
         if departure in self.departed:
             return ()
--- a/src/cassiaford/policy/_gossip.py
+++ b/src/cassiaford/policy/_gossip.py
@@ -1,40 +1,40 @@
-"""Choosing which updates to append to the next message between instances."""
+"""The choice of member updates to append to messages between instances."""
 
 import math
 from dataclasses import dataclass
 
 from cassiaford.policy._member import MemberUpdate
 
-# An update is sent this often for each doubling of the fleet.
+# How often an update is sent, for each doubling of the fleet's size.
 SENDS_PER_DOUBLING = 2
 
 
 @dataclass
-class _Rumour:
+class _QueuedUpdate:
     update: MemberUpdate
     sends: int = 0
 
 
 class GossipQueue:
-    """The updates that have not been told often enough yet.
+    """The member updates that have to be sent more often.
 
-    Each update is sent a number of times that grows with the logarithm of the
-    fleet, as in SWIM (Das, Gupta and Motivala, 2002), the least told first.
+    The number of times grows with the logarithm of the fleet's size, as in
+    SWIM (Das, Gupta and Motivala, 2002). Updates sent least go first.
     """
 
     def __init__(self):
-        self.rumours: dict[str, _Rumour] = {}
+        self.queued: dict[str, _QueuedUpdate] = {}
 
     def add(self, update: MemberUpdate) -> None:
-        """Queue an update in place of an older one about the same member."""
-        self.rumours[update.member.instance] = _Rumour(update)
+        """Queue an update, replacing an older one about the same member."""
+        self.queued[update.member.instance] = _QueuedUpdate(update)
 
     def take(self, count: int, fleet_size: int) -> list[MemberUpdate]:
         """Return up to `count` updates and count them as sent."""
         limit = SENDS_PER_DOUBLING * math.ceil(math.log2(fleet_size + 1))
-        chosen = sorted(self.rumours.items(), key=lambda item: item[1].sends)[:count]
-        for instance, rumour in chosen:
-            rumour.sends += 1
-            if rumour.sends >= limit:
-                del self.rumours[instance]
-        return [rumour.update for _, rumour in chosen]
+        chosen = sorted(self.queued.items(), key=lambda item: item[1].sends)[:count]
+        for instance, entry in chosen:
+            entry.sends += 1
+            if entry.sends >= limit:
+                del self.queued[instance]
+        return [entry.update for _, entry in chosen]
--- a/src/cassiaford/policy/_lookup.py
+++ b/src/cassiaford/policy/_lookup.py
@@ -1,8 +1,8 @@
-"""Which entry instances a caller should use.
+"""The choice of the entry instances that a caller should use.
 
-Instances are ranked by rendezvous hash (Thaler and Ravishankar, 1998) on the
-customer, so all of a customer's callers meet the same few instances, each
-customer meets different ones, and a change of the fleet moves few.
+Instances are ranked by a rendezvous hash (Thaler and Ravishankar, 1998) of the
+customer: all callers of a customer use the same few instances, customers use
+different ones, and a change of the fleet moves few customers.
 """
 
 from collections.abc import Sequence
@@ -11,8 +11,8 @@
 
 from cassiaford.policy._member import Member
 
-# How long a caller may keep the answer, so that a leaving instance is soon
-# without callers.
+# How long a caller may cache the result. It is short so that callers soon stop
+# using an instance that leaves.
 ENTRIES_MAX_AGE_S = 5
 
 
@@ -24,11 +24,11 @@
 ) -> tuple[Member, ...]:
     """Return the members that take requests, best first.
 
-    Those in the caller's data centre stand before all others, and those that
-    are suspected to be dead after all others.
+    Members in the caller's data centre precede all others, and members that
+    are suspected to be dead come last.
     """
-    staying = [member for member in members if not member.leaving]
-    serving = [member for member in staying if member.ready] or staying
+    remaining = [member for member in members if not member.leaving]
+    serving = [member for member in remaining if member.ready] or remaining
     return tuple(
         sorted(
             serving,
@@ -43,7 +43,7 @@
 
 
 def choose_instance(key: str, instances: Sequence[str]) -> str:
-    """Return the one of several instances that a key falls to."""
+    """Return the instance to which rendezvous hashing maps a key."""
     return max(instances, key=lambda instance: (_weight(key, instance), instance))
 
 
--- a/src/cassiaford/policy/_member.py
+++ b/src/cassiaford/policy/_member.py
@@ -1,4 +1,4 @@
-"""The instances of the fleet, as an instance knows them."""
+"""The members of the fleet and the updates about them."""
 
 import enum
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 
 @dataclass(frozen=True)
 class Member:
-    """An instance of the fleet, as its peers know it.
+    """An instance of the fleet, as it describes itself to its peers.
 
-    A restarted instance has a higher `incarnation`. One that is not yet
-    `ready`, or is `leaving`, takes no new requests.
+    A restarted instance has a higher `incarnation`. An instance that is not
+    `ready` yet, or is `leaving`, takes no new requests.
     """
 
     instance: str
@@ -23,7 +23,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a member; a higher state wins at equal versions."""
+    """The assumed state of a member; the higher state wins at equal versions."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class MemberUpdate:
-    """A belief about a member, as it is told from instance to instance.
+    """The state of a member, as instances report it to each other.
 
-    Only the member itself raises `version`, to refute a suspicion or to say
-    that it is leaving.
+    Only the member itself raises `version`, to refute a suspicion or to
+    announce that it is leaving.
     """
 
     member: Member
@@ -44,7 +44,7 @@
     state: MemberState
 
     def overrides(self, other: "MemberUpdate") -> bool:
-        """Return whether this belief is newer than another one."""
+        """Return whether this update is newer than another one."""
         return self._order() > other._order()
 
     def _order(self):
--- a/src/cassiaford/policy/_member_table.py
+++ b/src/cassiaford/policy/_member_table.py
@@ -1,4 +1,4 @@
-"""The table of members: merging beliefs and ageing suspicions."""
+"""The table of members, which merges updates and expires suspicions."""
 
 import math
 from dataclasses import dataclass, replace
@@ -12,8 +12,8 @@
 SUSPICION_PERIODS = 1.0
 MIN_SUSPICION_PERIODS = 4.0
 
-# Dead members are remembered so that a healed cut is noticed.
-FORGET_AFTER_S = 3600.0
+# Dead members are kept for this long, so that a partition that heals is noticed.
+DEAD_MEMBER_TTL_S = 3600.0
 
 
 @dataclass
@@ -24,16 +24,16 @@
 
 
 class MemberTable:
-    """What one instance believes about all others."""
+    """One instance's state of all other members."""
 
     def __init__(self, heartbeat_interval_s: float):
         self.heartbeat_interval_s = heartbeat_interval_s
         self.rows: dict[str, _Row] = {}
-        # The exclusive or of all rows' hashes does not depend on their order.
+        # The exclusive or of all rows' hashes, which does not depend on their order.
         self.digest = 0
 
     def merge(self, update: MemberUpdate, now: float) -> bool:
-        """Take in an update; return whether it was news."""
+        """Apply an update; return whether it changed the table."""
         row = self.rows.get(update.member.instance)
         if row is None:
             if update.state >= MemberState.DEAD:
@@ -45,15 +45,15 @@
         self._put(_Row(update, now, digest_of(update)))
         return True
 
-    def note_revision(self, instance: str, revision: int) -> None:
-        """Take note of the configuration revision that a member told itself."""
+    def update_revision(self, instance: str, revision: int) -> None:
+        """Record the configuration revision that a member has reported itself."""
         row = self.rows.get(instance)
         if row is not None and row.update.member.revision < revision:
             member = replace(row.update.member, revision=revision)
             row.update = replace(row.update, member=member)
 
     def get(self, instance: str) -> MemberUpdate | None:
-        """Return the belief about a member."""
+        """Return the latest update about a member, if any."""
         row = self.rows.get(instance)
         return row.update if row else None
 
@@ -74,7 +74,7 @@
         ]
 
     def dead(self) -> list[Member]:
-        """Return the members that are believed dead and did not leave."""
+        """Return the members that are assumed dead and did not leave."""
         return [
             row.update.member
             for row in self.rows.values()
@@ -82,14 +82,14 @@
         ]
 
     def with_state(self, instance: str, state: MemberState) -> MemberUpdate | None:
-        """Return the belief about a live member, worsened to a state."""
+        """Return a member's update with a worse state; None if it is not worse."""
         update = self.get(instance)
         if update is None or update.state >= state:
             return None
         return replace(update, state=state)
 
     def expired_suspicions(self, now: float) -> list[MemberUpdate]:
-        """Return updates that declare overdue suspects dead."""
+        """Return updates that declare members dead whose suspicion has expired."""
         deadline = now - self._suspicion_s()
         return [
             replace(row.update, state=MemberState.DEAD)
@@ -98,17 +98,18 @@
         ]
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Give suspects more time, after this instance itself was paused."""
+        """Extend all suspicions, after this instance itself was paused."""
         for row in self.rows.values():
             if row.update.state is MemberState.SUSPECT:
                 row.since += seconds
 
-    def forget_old(self, now: float) -> None:
-        """Drop members that have been gone for long."""
+    def remove_expired(self, now: float) -> None:
+        """Remove members that have been dead or gone for `DEAD_MEMBER_TTL_S`."""
         gone = [
             instance
             for instance, row in self.rows.items()
-            if row.update.state >= MemberState.DEAD and now - row.since > FORGET_AFTER_S
+            if row.update.state >= MemberState.DEAD
+            and now - row.since > DEAD_MEMBER_TTL_S
         ]
         for instance in gone:
             self.digest ^= self.rows.pop(instance).hash
@@ -126,7 +127,7 @@
 
 
 def digest_of(update: MemberUpdate) -> int:
-    """Return a hash of what is believed of a member; 0 if it is gone."""
+    """Return a hash of a member's state; 0 if it is dead or has left."""
     if update.state >= MemberState.DEAD:
         return 0
     member = update.member
@@ -134,8 +135,8 @@
     return xxhash.xxh3_64_intdigest(text.encode("utf-8", "replace"))
 
 
-def _keep_revision(update, known):
-    if update.member.incarnation != known.member.incarnation:
+def _keep_revision(update, current):
+    if update.member.incarnation != current.member.incarnation:
         return update
-    revision = max(update.member.revision, known.member.revision)
+    revision = max(update.member.revision, current.member.revision)
     return replace(update, member=replace(update.member, revision=revision))
--- a/src/cassiaford/policy/_membership.py
+++ b/src/cassiaford/policy/_membership.py
@@ -1,8 +1,8 @@
-"""Who is in the fleet: probes, suspicions and the spread of both.
+"""Fleet membership: probes, suspicions and the dissemination of updates.
 
 The protocol is SWIM (Das, Gupta and Motivala, 2002): in each heartbeat period
 an instance probes one member, directly and then through others, so the cost
-of an instance does not grow with the fleet. News travels on the probes.
+of an instance does not grow with the fleet. Probes carry the updates.
 """
 
 import random
@@ -20,27 +20,27 @@
     SendMessage,
     Superseded,
 )
-from cassiaford.policy._probes import ProbeBook
+from cassiaford.policy._probes import ProbeTracker
 
-# The bound on updates keeps a message within a datagram.
+# The limit of updates in a message, so that it fits into a datagram.
 MAX_UPDATES = 5
-# Members told at random beside the news, so that lost news is made up for.
+# The number of random members in each message, which makes up for lost updates.
 REFRESH_UPDATES = 1
 INDIRECT_PROBES = 3
-# Parts of a heartbeat period.
+# Times in heartbeat periods.
 INDIRECT_AFTER_PERIODS = 0.4
 PAUSE_PERIODS = 3.0
 RECONNECT_PERIODS = 5
 SEED_PERIODS = 15
-# After its start an instance tries its seeds in every period: instances that
-# start together are not all bound when the first of them calls.
+# For this long after its start an instance tries its seeds in every period:
+# when instances start together, some are not bound yet when others ping them.
 FIRST_SEED_PERIODS = 5
-SENT_PROBES_KEPT_PERIODS = 8
-CONTACTS_PER_PERIOD = 8
-LEAVE_FANOUT = 6
-# Suspects are told of the suspicion directly, so that they can refute it.
+SENT_PROBE_TTL_PERIODS = 8
+ADDRESSES_PER_PERIOD = 8
+ANNOUNCE_FANOUT = 6
+# Suspects are probed directly, so that they learn of the suspicion and refute it.
 SUSPECTS_PROBED_PER_PERIOD = 2
-# The least time between two requests for all members that a peer knows.
+# The minimum time between two requests for a peer's whole table of members.
 SYNC_PERIODS = 10
 FIRST_SYNC_PERIODS = 3
 
@@ -48,8 +48,8 @@
 class Membership:
     """The view that one instance has of the fleet.
 
-    `tick` is to be called a few times in each heartbeat period and `receive`
-    for each message; both return what is to be done.
+    Call `tick` a few times in each heartbeat period and `receive` for each
+    message, and perform the actions that they return.
     """
 
     def __init__(
@@ -66,8 +66,8 @@
         self.rng = rng
         self.table = MemberTable(heartbeat_interval_s)
         self.gossip = GossipQueue()
-        self.contacts: list[str] = list(self.seeds)
-        self.probes = ProbeBook(rng.getrandbits(30))
+        self.untried_addresses: list[str] = list(self.seeds)
+        self.probes = ProbeTracker(rng.getrandbits(30))
         self.revision = 0
         self.joined = False
         self.period = 0
@@ -82,67 +82,69 @@
         return (own, *self.table.live())
 
     def suspected(self) -> frozenset[str]:
-        """Return the names of the members that do not answer at present."""
+        """Return the names of the members that are suspected to be dead."""
         return frozenset(member.instance for member in self.table.suspects())
 
     def add_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Take note of addresses at which instances may be found."""
-        known = {member.peer_address for member in self.members()}
-        known.update(self.contacts)
-        self.contacts += [address for address in addresses if address not in known]
+        """Add addresses at which instances may be found."""
+        known_addresses = {member.peer_address for member in self.members()}
+        known_addresses.update(self.untried_addresses)
+        self.untried_addresses += [
+            address for address in addresses if address not in known_addresses
+        ]
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due."""
-        self._allow_for_pause(now)
+        """Perform the work that is due; return actions."""
+        self._detect_pause(now)
         actions = self._probe_indirectly(now)
         if now >= self.next_period:
-            actions += self._end_probe(now)
+            actions += self._finish_probe(now)
             actions += self._expire(now)
-            actions += self._begin_period(now)
+            actions += self._start_period(now)
         return actions
 
     def receive(
         self, sender: str, message: MembershipMessage, now: float
     ) -> list[Action]:
-        """Take in a message from a peer."""
+        """Process a message from a peer; return actions."""
         actions = []
-        told = message.kind is not MessageKind.SYNC
+        spread = message.kind is not MessageKind.SYNC
         for update in message.updates:
-            actions += self._merge(update, now, told)
-        self.table.note_revision(sender, message.revision)
+            actions += self._merge(update, now, spread)
+        self.table.update_revision(sender, message.revision)
         as_of = self.probes.sent.get(message.sequence)
         if message.kind is not MessageKind.ACK:
             as_of = None
         actions.append(PeerContact(sender, message.revision, as_of))
-        actions += self._answer(sender, message, now)
+        actions += self._reply(sender, message, now)
         actions += self._sync_if_different(sender, message, now)
         return actions
 
     def announce_ready(self, now: float) -> list[Action]:
-        """Say that this instance takes requests."""
+        """Announce that this instance takes requests."""
         member = replace(self.own.member, ready=True)
-        self._renew(replace(self.own, member=member))
-        return self._tell_some(now)
+        self._update_own(replace(self.own, member=member))
+        return self._announce(now)
 
     def leave(self, now: float) -> list[Action]:
-        """Say that this instance takes no new requests."""
+        """Announce that this instance takes no new requests."""
         member = replace(self.own.member, leaving=True)
-        self._renew(replace(self.own, member=member))
-        return self._tell_some(now)
+        self._update_own(replace(self.own, member=member))
+        return self._announce(now)
 
     def stop(self, now: float) -> list[Action]:
-        """Say that this instance is gone."""
-        self._renew(replace(self.own, state=MemberState.LEFT))
-        return self._tell_some(now)
+        """Announce that this instance stops."""
+        self._update_own(replace(self.own, state=MemberState.LEFT))
+        return self._announce(now)
 
     # Periods and probes.
 
-    def _allow_for_pause(self, now):
+    def _detect_pause(self, now):
         gap = now - self.last_tick
         self.last_tick = now
         if gap > PAUSE_PERIODS * self.interval_s:
-            # The answers could not be read meanwhile: blame nobody.
-            self.probes.end()
+            # Replies could not be read during the pause, so nobody is suspected.
+            self.probes.finish()
             self.table.postpone_suspicions(gap)
 
     def _probe_indirectly(self, now):
@@ -159,8 +161,8 @@
             for helper in helpers
         ]
 
-    def _end_probe(self, now):
-        probe = self.probes.end()
+    def _finish_probe(self, now):
+        probe = self.probes.finish()
         if probe is None:
             return []
         suspicion = self.table.with_state(probe.target, MemberState.SUSPECT)
@@ -170,23 +172,23 @@
         actions = []
         for update in self.table.expired_suspicions(now):
             actions += self._merge(update, now)
-        self.table.forget_old(now)
+        self.table.remove_expired(now)
         return actions
 
-    def _begin_period(self, now):
+    def _start_period(self, now):
         self.period += 1
         self.next_period = now + self.interval_s
-        self.probes.forget_before(now - SENT_PROBES_KEPT_PERIODS * self.interval_s)
+        self.probes.remove_before(now - SENT_PROBE_TTL_PERIODS * self.interval_s)
         actions = self._probe_next(now)
         actions += self._probe_suspects(now)
-        actions += self._reach_out(now)
+        actions += self._try_addresses(now)
         return actions
 
     def _probe_next(self, now):
         target = self._next_target()
         if target is None:
             return []
-        return [self._send(MessageKind.PING, target, self.probes.begin(target, now))]
+        return [self._send(MessageKind.PING, target, self.probes.start(target, now))]
 
     def _probe_suspects(self, now):
         suspects = [member.instance for member in self.table.suspects()]
@@ -194,12 +196,12 @@
             suspects, min(SUSPECTS_PROBED_PER_PERIOD, len(suspects))
         )
         return [
-            self._send(MessageKind.PING, suspect, self.probes.number(now))
+            self._send(MessageKind.PING, suspect, self.probes.next_sequence(now))
             for suspect in chosen
         ]
 
     def _next_target(self):
-        # A shuffled round bounds the time until each member is probed.
+        # Probing in shuffled rounds bounds the time until each member is probed.
         live = {member.instance for member in self.table.live()}
         while live:
             if not self._order:
@@ -210,35 +212,37 @@
                 return target
         return None
 
-    def _reach_out(self, now):
-        """Try addresses that may lead to members not known as live."""
+    def _try_addresses(self, now):
+        """Ping addresses that may belong to members not known as live."""
         live = self.table.live()
-        if self._is_time_for_seeds() or not live:
+        if self._seeds_are_due() or not live:
             self.add_addresses(self.seeds)
-        addresses = self.contacts[:CONTACTS_PER_PERIOD]
-        del self.contacts[:CONTACTS_PER_PERIOD]
+        addresses = self.untried_addresses[:ADDRESSES_PER_PERIOD]
+        del self.untried_addresses[:ADDRESSES_PER_PERIOD]
         if self.period % RECONNECT_PERIODS == 0 and self.table.dead():
             addresses.append(self.rng.choice(self.table.dead()).peer_address)
-        known = {member.peer_address for member in live}
+        known_addresses = {member.peer_address for member in live}
         actions = [
-            self._contact(address, now) for address in addresses if address not in known
+            self._ping_address(address, now)
+            for address in addresses
+            if address not in known_addresses
         ]
         if live and not self.joined:
             helper = self.rng.choice(live).instance
-            sequence = self.probes.number(now)
+            sequence = self.probes.next_sequence(now)
             actions.append(self._send(MessageKind.JOIN, helper, sequence))
         return actions
 
-    def _is_time_for_seeds(self):
+    def _seeds_are_due(self):
         return self.period <= FIRST_SEED_PERIODS or self.period % SEED_PERIODS == 0
 
-    def _contact(self, address, now):
-        message = self._message(MessageKind.PING, self.probes.number(now))
+    def _ping_address(self, address, now):
+        message = self._message(MessageKind.PING, self.probes.next_sequence(now))
         return SendMessage(message, address=address)
 
     # Messages.
 
-    def _answer(self, sender, message, now):
+    def _reply(self, sender, message, now):
         match message.kind:
             case MessageKind.PING:
                 return [self._acknowledge(sender, message)]
@@ -247,7 +251,7 @@
             case MessageKind.JOIN:
                 return self._sync(sender, message.sequence)
             case MessageKind.ACK:
-                return self._take_ack(message.sequence)
+                return self._on_ack(message.sequence)
             case MessageKind.SYNC:
                 self.joined = True
         return []
@@ -255,12 +259,12 @@
     def _acknowledge(self, sender, message):
         if message.digest != self._digest():
             return self._send(MessageKind.ACK, sender, message.sequence)
-        # The sender knows all that this instance could tell.
+        # Equal digests: the sender has all updates that this instance could send.
         return SendMessage(
             MembershipMessage(
                 MessageKind.ACK,
                 message.sequence,
-                (self.own, *self._belief_to_refute(sender)),
+                (self.own, *self._state_to_refute(sender)),
                 self.revision,
                 message.digest,
             ),
@@ -268,17 +272,17 @@
         )
 
     def _sync_if_different(self, sender, message, now):
-        """Ask a peer for all that it knows if that is not the same."""
+        """Request a peer's whole table if its digest differs."""
         if message.digest in (0, self._digest()) or now < self.next_sync:
             return []
         self.next_sync = now + SYNC_PERIODS * self.interval_s
-        return [self._send(MessageKind.JOIN, sender, self.probes.number(now))]
+        return [self._send(MessageKind.JOIN, sender, self.probes.next_sequence(now))]
 
     def _digest(self):
         return self.table.digest ^ digest_of(self.own)
 
-    def _take_ack(self, sequence):
-        relay = self.probes.answered(sequence)
+    def _on_ack(self, sequence):
+        relay = self.probes.record_ack(sequence)
         if relay is None:
             return []
         return [self._send(MessageKind.ACK, relay.instance, relay.sequence)]
@@ -306,7 +310,7 @@
         return SendMessage(message, instance=instance)
 
     def _message(self, kind, sequence, receiver="", target=""):
-        updates = [self.own, *self._belief_to_refute(receiver)]
+        updates = [self.own, *self._state_to_refute(receiver)]
         room = MAX_UPDATES - len(updates)
         updates += self.gossip.take(room - REFRESH_UPDATES, len(self.table.rows) + 1)
         updates += self._refresh()
@@ -314,8 +318,8 @@
             kind, sequence, tuple(updates), self.revision, self._digest(), target
         )
 
-    def _belief_to_refute(self, receiver):
-        # A member must hear that it is suspected before it can refute that.
+    def _state_to_refute(self, receiver):
+        # A member can refute a suspicion only once it has learned of it.
         update = self.table.get(receiver)
         if update is None or update.state is MemberState.ALIVE:
             return []
@@ -326,22 +330,22 @@
         chosen = self.rng.sample(instances, min(REFRESH_UPDATES, len(instances)))
         return [self.table.rows[instance].update for instance in chosen]
 
-    def _tell_some(self, now):
+    def _announce(self, now):
         live = [member.instance for member in self.table.live()]
-        chosen = self.rng.sample(live, min(LEAVE_FANOUT, len(live)))
+        chosen = self.rng.sample(live, min(ANNOUNCE_FANOUT, len(live)))
         return [
-            self._send(MessageKind.PING, instance, self.probes.number(now))
+            self._send(MessageKind.PING, instance, self.probes.next_sequence(now))
             for instance in chosen
         ]
 
-    # Beliefs.
+    # Updates.
 
-    def _merge(self, update, now, tell=True):
+    def _merge(self, update, now, spread=True):
         if update.member.instance == self.own.member.instance:
             return self._refute(update)
         if not self.table.merge(update, now):
             return []
-        if tell:
+        if spread:
             self.gossip.add(update)
         return [MemberChanged(update)]
 
@@ -349,9 +353,9 @@
         if update.member.incarnation > self.own.member.incarnation:
             return [Superseded(update.member.incarnation)]
         if update.overrides(self.own):
-            self._renew(replace(self.own, version=update.version))
+            self._update_own(replace(self.own, version=update.version))
         return []
 
-    def _renew(self, update):
+    def _update_own(self, update):
         self.own = replace(update, version=update.version + 1)
         self.gossip.add(self.own)
--- a/src/cassiaford/policy/_membership_messages.py
+++ b/src/cassiaford/policy/_membership_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the membership protocol, and what it asks to be done."""
+"""The messages of the membership protocol and the actions that it requests."""
 
 import enum
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
     """A message between two instances; `updates` starts with the sender.
 
     `revision` is the configuration revision in force at the sender, and
-    `digest` a hash over the members that it knows.
+    `digest` a hash over its table of members.
     """
 
     kind: MessageKind
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class SendMessage:
-    """Send a message to a member, or to an address not known to be one."""
+    """Send a message to a member, or to an address of no known member."""
 
     message: MembershipMessage
     instance: str = ""
@@ -43,19 +43,18 @@
 
 @dataclass(frozen=True)
 class MemberChanged:
-    """A member was seen in a new state."""
+    """The state of a member changed."""
 
     update: MemberUpdate
 
 
 @dataclass(frozen=True)
 class PeerContact:
-    """A peer told which revision it has in force.
+    """A peer reported the revision that it has in force.
 
-    `as_of` is the time at which this was surely still true, which is when the
-    probe was sent that the message answers; None if it answers none. A
-    message that lay in a buffer while this instance was paused proves nothing
-    about the present.
+    `as_of` is a time at which this was certainly true: when the probe was sent
+    to which the message replies, or None if it replies to none. A message that
+    was buffered while this instance was paused does not show the present state.
     """
 
     instance: str
@@ -65,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Superseded:
-    """Another process runs under this instance's name, started later."""
+    """Another process that started later runs under this instance's name."""
 
     incarnation: int
 
--- a/src/cassiaford/policy/_placement.py
+++ b/src/cassiaford/policy/_placement.py
@@ -1,4 +1,4 @@
-"""What a placement policy is told and what it decides."""
+"""The interface of placement policies, with their inputs and results."""
 
 import random
 from abc import ABC, abstractmethod
@@ -12,8 +12,8 @@
 class ServerView:
     """What an instance knows for certain about a backend server.
 
-    `in_flight` counts the requests that this instance has running there;
-    `suspected` says that its newest calls failed.
+    `in_flight` counts this instance's requests that run on the server;
+    `suspected` is true if its latest calls failed.
     """
 
     name: str
@@ -27,7 +27,7 @@
     """A request that needs a backend server.
 
     `chain` holds the block hashes of the prompt, outermost first. `excluded`
-    names servers that have failed this request already.
+    names servers that have already failed this request.
     """
 
     request_id: str
@@ -41,8 +41,8 @@
 class Placement:
     """The backend server chosen for a request.
 
-    `cached_tokens` is the part of the prompt expected in the server's cache,
-    `expected_wait_s` the expected time to the first token.
+    `cached_tokens` is the number of prompt tokens expected in the server's
+    cache, `expected_wait_s` the expected time to the first token.
     """
 
     server: str
@@ -51,7 +51,7 @@
 
 
 class PlacementPolicy(ABC):
-    """Chooses backend servers and learns from what became of requests."""
+    """Chooses backend servers, using the recorded progress of requests."""
 
     @abstractmethod
     def place(
@@ -61,27 +61,27 @@
         now: float,
         rng: random.Random,
     ) -> Placement | None:
-        """Return the choice, or None if no server may take the request now."""
+        """Return the chosen server, or None if none may take the request now."""
 
     def record_start(
         self, placement: Placement, request: PlacementRequest, now: float
     ) -> None:
-        """Take note that a request was sent to the chosen server."""
+        """Record that a request was sent to the chosen server."""
 
     def record_peer_start(self, server: str, tokens: int, now: float) -> None:
-        """Take note that another instance sent a server prompt tokens to compute."""
+        """Record that another instance sent a server prompt tokens to compute."""
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """Take note that the prompt of a request has been computed."""
+        """Record that the prompt of a request has been computed."""
 
     def record_end(self, request_id: str, now: float) -> None:
-        """Take note that a request has ended on its server, however."""
+        """Record that a request has ended on its server, successfully or not."""
 
     def observe_load(self, server: str, report: LoadReport, now: float) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
 
     def observe_events(self, server: str, events: CacheEvents, now: float) -> None:
-        """Take in cache events."""
+        """Apply cache events."""
 
     def remove_server(self, server: str) -> None:
-        """Drop every belief about a server that left or came back empty."""
+        """Remove all state of a server that left or restarted empty."""
--- a/src/cassiaford/policy/_prefix_homes.py
+++ b/src/cassiaford/policy/_prefix_homes.py
@@ -1,8 +1,8 @@
-"""Which backend servers a prompt belongs to, and which are believed to hold it.
+"""The home servers of a prompt, and the servers that are assumed to cache it.
 
 Rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to
 Increase Hit Rates", 1998) ranks the backend servers for a prefix, so that
-instances agree without talking.
+instances agree without communication.
 """
 
 from collections.abc import Sequence
@@ -10,26 +10,26 @@
 
 import xxhash
 
-from cassiaford.policy._block_table import BlockTable, KnownBlock
+from cassiaford.policy._block_table import BlockState, BlockTable
 from cassiaford.policy._placement import ServerView
 from cassiaford.policy._server_index import ServerIndex, ServerIndexes
 
 MAX_HOMES = 16
-# A ranking is worked out anew after this time, for servers that have joined.
-RANKING_LIFE_S = 10.0
-# A longer prefix is a level of its own if it has at most this part of the
+# A ranking is recomputed after this time, to include servers that have joined.
+RANKING_TTL_S = 10.0
+# A longer prefix is a level of its own if it has at most this fraction of the
 # requests of the shorter one, and at least this many recent requests.
-LEVEL_RATIO = 0.8
+MAX_LEVEL_FRACTION = 0.8
 MIN_LEVEL_REQUESTS = 2.0
-# Requests of other prefixes that are assumed before any are seen.
-FEW_REQUESTS = 20.0
+# Requests of other prefixes that are assumed in addition to those observed.
+PRIOR_REQUESTS = 20.0
 
 
 @dataclass(frozen=True)
 class Homes:
-    """The homes of a prompt are the first `needed` servers of a ranking.
+    """The homes of a prompt: the first `needed` servers of a ranking.
 
-    The others of the ranking take over from them.
+    The later servers of the ranking replace homes that are unavailable.
     """
 
     ranking: Sequence[str] = ()
@@ -38,10 +38,10 @@
 
 
 class PromptBlocks:
-    """The blocks of one prompt with what is known of them.
+    """The blocks of one prompt and their state.
 
-    `blocks` has None for an unknown block. `runs` says, longest first, how
-    many leading blocks which set of backend servers is believed to hold.
+    `blocks` has None for an unknown block. `runs` lists, longest first, how
+    many leading blocks are assumed to be cached, with a mask of the servers.
     """
 
     __slots__ = ("blocks", "chain", "runs")
@@ -51,10 +51,10 @@
         self.blocks = [table.find(block) for block in chain]
         self.runs = _runs(self.blocks)
 
-    def held(self, bit: int) -> int:
-        """Return the number of leading blocks believed to be on a server."""
-        for length, holders in self.runs:
-            if holders & bit:
+    def cached_blocks(self, mask: int) -> int:
+        """Return the number of leading blocks that a server is assumed to cache."""
+        for length, server_mask in self.runs:
+            if server_mask & mask:
                 return length
         return 0
 
@@ -71,54 +71,56 @@
     ) -> Homes:
         """Return the homes of a prompt, best first.
 
-        Each level of the prompt narrows the choice to as many homes as its
-        part of the requests needs, among the homes of the level above.
+        Each level of the prompt limits the homes to as many as its fraction of
+        the requests needs, chosen among the homes of the previous level.
         """
         if not prompt.chain:
             return Homes()
         weight = self.table.weight_at(now)
         needed = len(servers)
         ranking = ()
-        for number in _levels(prompt.blocks, weight):
+        for position in _levels(prompt.blocks, weight):
             if needed > MAX_HOMES or not ranking:
-                ranking = self._ranking(prompt, number, servers, now)
+                ranking = self._ranking(prompt, position, servers, now)
             else:
-                ranking = _narrowed(prompt.chain[number], ranking, needed)
-            known = prompt.blocks[number]
-            needed = min(needed, self._needed(known, len(servers), weight))
+                ranking = _reorder_homes(prompt.chain[position], ranking, needed)
+            state = prompt.blocks[position]
+            needed = min(needed, self._homes_needed(state, len(servers), weight))
             if needed == 1:
                 break
         return Homes(ranking, needed, frozenset(ranking[:needed]))
 
-    def _needed(self, known: KnownBlock | None, servers: int, weight: float) -> int:
-        if known is None:
+    def _homes_needed(
+        self, state: BlockState | None, servers: int, weight: float
+    ) -> int:
+        if state is None:
             return 1
-        # A share says little before some requests have been seen.
-        total = self.table.total_weight + FEW_REQUESTS * weight
-        return 1 + int(known.weight / total * servers)
+        # Without the prior, the first few requests would determine the fraction.
+        total = self.table.total_weight + PRIOR_REQUESTS * weight
+        return 1 + int(state.weight / total * servers)
 
     def _ranking(
         self,
         prompt: PromptBlocks,
-        number: int,
+        position: int,
         servers: Sequence[ServerView],
         now: float,
     ) -> Sequence[str]:
-        block, known = prompt.chain[number], prompt.blocks[number]
-        if known is None:
+        block, state = prompt.chain[position], prompt.blocks[position]
+        if state is None:
             return rank(block, self.indexes.index_of(servers, now))
-        if self._is_stale(known, servers, now):
-            known.ranking = rank(block, self.indexes.fresh_index_of(servers, now))
-            known.ranked_at = now
-        return known.ranking
+        if self._is_stale(state, servers, now):
+            state.ranking = rank(block, self.indexes.recent_index_of(servers, now))
+            state.ranked_at = now
+        return state.ranking
 
     def _is_stale(
-        self, known: KnownBlock, servers: Sequence[ServerView], now: float
+        self, state: BlockState, servers: Sequence[ServerView], now: float
     ) -> bool:
-        ranking = known.ranking
+        ranking = state.ranking
         if len(ranking) != min(MAX_HOMES, len(servers)):
             return True
-        if now - known.ranked_at > RANKING_LIFE_S:
+        if now - state.ranked_at > RANKING_TTL_S:
             return True
         return len(self.indexes.find_all(ranking, servers, now)) < len(ranking)
 
@@ -126,8 +128,8 @@
 def rank(block: int, index: ServerIndex) -> list[str]:
     """Return the first backend servers in rendezvous order for a block.
 
-    Where there are many, groups of them are ranked first, so that a few have
-    to be hashed and not all.
+    If there are many, groups of servers are ranked first, so that only some
+    servers have to be hashed.
     """
     ranking = []
     groups = sorted(index.groups, key=lambda group: _digest(group.key, block))
@@ -138,7 +140,7 @@
     return [name.decode() for name in ranking[:MAX_HOMES]]
 
 
-def _narrowed(block: int, ranking: Sequence[str], needed: int) -> list[str]:
+def _reorder_homes(block: int, ranking: Sequence[str], needed: int) -> list[str]:
     homes = sorted(ranking[:needed], key=lambda name: _digest(name.encode(), block))
     return homes + list(ranking[needed:])
 
@@ -147,30 +149,30 @@
     return xxhash.xxh3_64_intdigest(name, block)
 
 
-def _levels(blocks: Sequence[KnownBlock | None], weight: float) -> list[int]:
-    # The first block stands for the first level, whatever is known of it.
+def _levels(blocks: Sequence[BlockState | None], weight: float) -> list[int]:
+    # The first block is always the first level, even without any state.
     levels = [0]
     if blocks[0] is None:
         return levels
-    above = blocks[0].weight
-    least = MIN_LEVEL_REQUESTS * weight
-    for number, known in enumerate(blocks):
-        if known is None or known.weight < least:
+    previous_weight = blocks[0].weight
+    min_weight = MIN_LEVEL_REQUESTS * weight
+    for position, state in enumerate(blocks):
+        if state is None or state.weight < min_weight:
             break
-        if known.weight <= LEVEL_RATIO * above:
-            levels.append(number)
-            above = known.weight
+        if state.weight <= MAX_LEVEL_FRACTION * previous_weight:
+            levels.append(position)
+            previous_weight = state.weight
     return levels
 
 
-def _runs(blocks: Sequence[KnownBlock | None]) -> list[tuple[int, int]]:
-    # A server that holds a block holds those before it, as engines evict the
-    # end of a prompt first; so an event lost in between does no harm.
+def _runs(blocks: Sequence[BlockState | None]) -> list[tuple[int, int]]:
+    # Engines evict the end of a prompt first, so a server that caches a block
+    # also caches those before it. A lost event in between thus does no harm.
     runs = []
-    found = 0
+    found_mask = 0
     for length in range(len(blocks), 0, -1):
-        known = blocks[length - 1]
-        if known is not None and known.holders & ~found:
-            runs.append((length, known.holders & ~found))
-            found |= known.holders
+        state = blocks[length - 1]
+        if state is not None and state.server_mask & ~found_mask:
+            runs.append((length, state.server_mask & ~found_mask))
+            found_mask |= state.server_mask
     return runs
--- a/src/cassiaford/policy/_prefix_placement.py
+++ b/src/cassiaford/policy/_prefix_placement.py
@@ -1,8 +1,8 @@
-"""Placement by prefix: a function first, corrected by what is heard.
+"""Placement by prompt prefix.
 
-Rendezvous hashing on nested prefixes names the home servers of a prompt, so
-that instances agree without talking and a new one places well at once.
-Beliefs about caches and queues then choose by expected time.
+Rendezvous hashing on nested prefixes determines the home servers of a prompt,
+so that instances agree without communication and a new instance places well at
+once. The estimated caches and queues then select a server by expected time.
 """
 
 import operator
@@ -25,39 +25,39 @@
     ServerView,
 )
 from cassiaford.policy._prefix_homes import HomeFinder, Homes, PromptBlocks
-from cassiaford.policy._server_beliefs import ServerBeliefs
 from cassiaford.policy._server_load import SentRequest, ServerLoad
+from cassiaford.policy._server_states import ServerStates
 
 BLOCK_TOKENS = BLOCK_BYTES // BYTES_PER_TOKEN
 DEFAULT_TOKENS_PER_S = 20_000.0
-DEFAULT_KNOWN_BLOCKS = 32_768
-# Up to this many backend servers are all scored; of more, only candidates.
-SCORE_ALL_SERVERS = 16
+DEFAULT_MAX_BLOCKS = 32_768
+# Up to this many backend servers are all scored; among more, only candidates.
+MAX_SERVERS_TO_SCORE_ALL = 16
 SPARE_HOMES = 2
 SAMPLED_SERVERS = 4
-# Computing a token costs later requests too, so it weighs more than a wait.
+# Computing tokens also delays later requests, so it costs more than waiting.
 RECOMPUTE_WEIGHT = 4.0
-# How far a home is credited with blocks before its events have been heard.
+# The fraction of missing blocks credited to a home before any of its events.
 COLD_CREDIT = 0.8
-# After listening this long, a block not heard of is taken to be absent.
-LISTENING_S = 20.0
-# How far a home is preferred where its cache is known to lack the blocks.
+# Once events have arrived for this long, blocks without one are assumed absent.
+EVENT_WARMUP_S = 20.0
+# The fraction credited to a home whose cache is known to lack the blocks.
 HOME_CREDIT = 0.3
-# Random part of a score, so that instances do not all choose alike.
+# The random part of a score, so that instances do not all choose the same server.
 JITTER_S = 0.005
-# A server with at most this wait has nothing better to do than recompute.
+# A server with at most this wait counts as idle and may recompute a prefix.
 IDLE_WAIT_S = 0.5
 
 
 class _Choice(NamedTuple):
-    """What sending a request to one backend server would mean."""
+    """The expected effects of sending a request to one backend server."""
 
     cost: float
     server: str
-    held_tokens: int
+    cached_tokens: int
     wait_s: float
     expected_s: float
-    full: bool
+    is_full: bool
 
 
 _COST = operator.attrgetter("cost")
@@ -65,23 +65,22 @@
 
 def create_placement(
     tokens_per_s: float = DEFAULT_TOKENS_PER_S,
-    known_blocks: int = DEFAULT_KNOWN_BLOCKS,
+    max_blocks: int = DEFAULT_MAX_BLOCKS,
 ) -> "PrefixPlacement":
     """Return a placement policy.
 
-    `tokens_per_s` is the speed at which a backend server is assumed to
-    compute prompts until it is known better; `known_blocks` bounds the table
-    of blocks.
+    `tokens_per_s` is the assumed prefill speed of a backend server until it is
+    measured; `max_blocks` bounds the table of blocks.
     """
-    return PrefixPlacement(BlockTable(known_blocks), tokens_per_s)
+    return PrefixPlacement(BlockTable(max_blocks), tokens_per_s)
 
 
 class PrefixPlacement(PlacementPolicy):
-    """Places requests where their prefix is, or where it belongs.
+    """Places requests where their prefix is cached, or on one of its homes.
 
-    Everything learned may be lost at any time: homes follow from the hashes.
-    Block hashes are scoped by customer, model and version, and beliefs are
-    dropped with the incarnation of their backend server.
+    All state may be lost at any time, since the homes follow from the hashes.
+    Block hashes are scoped by customer, model and version. The state of a
+    backend server is discarded when its incarnation ends.
 
     Examples
     --------
@@ -95,7 +94,7 @@
 
     def __init__(self, table: BlockTable, tokens_per_s: float):
         self.table = table
-        self.beliefs = ServerBeliefs(table, tokens_per_s)
+        self.server_states = ServerStates(table, tokens_per_s)
         self.home_finder = HomeFinder(table)
         self._server_of = {}
 
@@ -108,9 +107,9 @@
     ) -> Placement | None:
         """Return the usable backend server with the lowest expected cost.
 
-        Returns None if no server is usable, or if the best one has its fill
-        of waiting requests and no other is idle: computing a prefix again on
-        a busy server would cost all others more than this request gains.
+        Returns None if no server is usable, or if the best one may queue no
+        more requests and no other is idle: recomputing a prefix on a busy
+        server would cost the other requests more than this one gains.
         """
         prompt = PromptBlocks(request.chain, self.table)
         homes = self.home_finder.find(prompt, servers, now) if servers else Homes()
@@ -119,91 +118,91 @@
             for view in self._candidates(prompt, homes, servers, request, now, rng)
         ]
         best = min(choices, key=_COST, default=None)
-        if best is not None and best.full:
+        if best is not None and best.is_full:
             idle = [choice for choice in choices if choice.wait_s <= IDLE_WAIT_S]
             best = min(idle, key=_COST, default=None)
         if best is None:
             return None
-        cached = min(best.held_tokens, request.prompt_tokens)
+        cached = min(best.cached_tokens, request.prompt_tokens)
         return Placement(best.server, cached, best.expected_s)
 
     def record_start(
         self, placement: Placement, request: PlacementRequest, now: float
     ) -> None:
-        """Expect the prompt's blocks on the server and its work before it."""
+        """Record a request sent to a server, which will then cache its blocks."""
         self.record_end(request.request_id, now)
-        load = self.beliefs.load_of(placement.server)
+        load = self.server_states.get_or_add(placement.server)
         tokens = request.prompt_tokens - placement.cached_tokens
-        ahead = load.waiting_tokens(now)
+        tokens_ahead = load.waiting_tokens(now)
         cached = placement.cached_tokens // BLOCK_TOKENS
-        load.add(SentRequest(request, tokens, ahead, now, cached))
+        load.add(SentRequest(request, tokens, tokens_ahead, now, cached))
         self._server_of[request.request_id] = placement.server
-        load.holds_blocks = True
+        load.may_have_blocks = True
         weight = self.table.weight_at(now)
         self.table.total_weight += weight
         for block in request.chain:
-            known = self.table.add(block)
-            known.weight += weight
-            known.holders |= load.bit
+            state = self.table.add(block)
+            state.weight += weight
+            state.server_mask |= load.mask
 
     def record_peer_start(self, server: str, tokens: int, now: float) -> None:
-        """Expect a peer's prompt in the queue until a load report holds it."""
-        load = self.beliefs.known(server)
+        """Add a peer's prompt to a server's queue until a report includes it."""
+        load = self.server_states.get(server)
         if load is not None:
-            load.hear(tokens, now)
+            load.add_peer_prompt(tokens, now)
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """Learn the server's speed; its queue is shorter by the prompt."""
-        load = self.beliefs.known(self._server_of.pop(request_id, ""))
+        """Remove the prompt from its server's queue and update the server's speed."""
+        load = self.server_states.get(self._server_of.pop(request_id, ""))
         sent = load.remove(request_id) if load else None
         if sent is not None:
-            load.learn_speed(sent, now)
+            load.update_speed(sent, now)
 
     def record_end(self, request_id: str, now: float) -> None:
-        """Drop what was expected of a request that got no first token."""
-        load = self.beliefs.known(self._server_of.pop(request_id, ""))
+        """Remove a request; if it got no first token, its blocks are not cached."""
+        load = self.server_states.get(self._server_of.pop(request_id, ""))
         sent = load.remove(request_id) if load else None
         if sent is None:
             return
         for block in sent.request.chain[sent.cached_blocks :]:
-            known = self.table.find(block)
-            if known is not None:
-                known.holders &= ~load.bit
+            state = self.table.find(block)
+            if state is not None:
+                state.server_mask &= ~load.mask
 
     def observe_load(self, server: str, report: LoadReport, now: float) -> None:
-        """Take in a load report, unless an earlier incarnation sent it."""
-        if self.beliefs.enter(server, report.incarnation, now):
-            self.beliefs.load_of(server).take_report(report, now)
+        """Apply a load report, unless an earlier incarnation sent it."""
+        if self.server_states.enter_incarnation(server, report.incarnation, now):
+            self.server_states.get_or_add(server).apply_report(report, now)
 
     def observe_events(self, server: str, events: CacheEvents, now: float) -> None:
-        """Take in cache events of the incarnation that the last report named.
+        """Apply cache events of the incarnation that the last report named.
 
-        Reports of a server come in order and events may not, so events alone
-        never change a known incarnation. A gap needs no action: a wrong belief
-        costs one recomputation, after which it is right.
+        The reports of a server arrive in order but its events may not, so events
+        never change a known incarnation. A gap in them needs no action: a wrong
+        estimate costs one recomputation, which corrects it.
         """
-        load = self.beliefs.load_of(server)
+        load = self.server_states.get_or_add(server)
         if load.incarnation is None:
-            self.beliefs.enter(server, events.incarnation, now)
+            self.server_states.enter_incarnation(server, events.incarnation, now)
         if load.incarnation != events.incarnation:
             return
-        if load.listening_since is None:
-            load.listening_since = now
+        if load.events_since is None:
+            load.events_since = now
         for event in events.events:
             if event.kind is CacheEventKind.STORED:
-                self.beliefs.stored(event.block, load)
+                self.server_states.record_cached(event.block, load)
             else:
-                self.beliefs.evicted(event.block, load.bit)
+                self.server_states.record_evicted(event.block, load.mask)
 
     def remove_server(self, server: str) -> None:
-        """Drop every belief about a server that left or came back empty."""
-        load = self.beliefs.forget(server)
+        """Remove all state of a server that left or restarted empty."""
+        load = self.server_states.remove(server)
         for request_id in load.sent if load else ():
             self._server_of.pop(request_id, None)
 
     @property
-    def unfinished(self) -> int:
-        """The number of requests sent that have no first token yet."""
+    def awaiting_first_token(self) -> int:
+        """The number of sent requests that have no first token yet."""
         return len(self._server_of)
 
     def homes(
@@ -223,15 +222,15 @@
         rng: random.Random,
     ) -> _Choice:
         name = view.name
-        load = self.beliefs.load_of(name)
-        held = prompt.held(load.bit) * BLOCK_TOKENS
-        missing_s = max(0, request.prompt_tokens - held) / load.tokens_per_s
-        slot_wait_s, full = load.slots_at(view, now)
+        load = self.server_states.get_or_add(name)
+        cached_tokens = prompt.cached_blocks(load.mask) * BLOCK_TOKENS
+        missing_s = max(0, request.prompt_tokens - cached_tokens) / load.tokens_per_s
+        slot_wait_s, is_full = load.slot_wait(view, now)
         wait_s = load.waiting_tokens(now) / load.tokens_per_s + slot_wait_s
         cost = wait_s + RECOMPUTE_WEIGHT * missing_s + JITTER_S * rng.random()
         if name in homes.preferred:
             cost -= RECOMPUTE_WEIGHT * missing_s * _home_credit(load, now)
-        return _Choice(cost, name, held, wait_s, wait_s + missing_s, full)
+        return _Choice(cost, name, cached_tokens, wait_s, wait_s + missing_s, is_full)
 
     def _candidates(
         self,
@@ -242,9 +241,9 @@
         now: float,
         rng: random.Random,
     ) -> Iterable[ServerView]:
-        if len(servers) > SCORE_ALL_SERVERS:
-            few = self._few_candidates(prompt, homes, servers, now, rng)
-            usable = [view for view in few if _is_usable(view, request)]
+        if len(servers) > MAX_SERVERS_TO_SCORE_ALL:
+            candidates = self._few_candidates(prompt, homes, servers, now, rng)
+            usable = [view for view in candidates if _is_usable(view, request)]
             if usable:
                 return usable
         return [view for view in servers if _is_usable(view, request)]
@@ -258,7 +257,9 @@
         rng: random.Random,
     ) -> Iterable[ServerView]:
         names = dict.fromkeys(homes.ranking[: homes.needed + SPARE_HOMES])
-        names.update(dict.fromkeys(self.beliefs.holders(prompt, rng)))
+        names.update(
+            dict.fromkeys(self.server_states.sample_caching_servers(prompt, rng))
+        )
         found = self.home_finder.indexes.find_all(names, servers, now)
         for view in rng.sample(servers, SAMPLED_SERVERS):
             found[view.name] = view
@@ -272,7 +273,7 @@
 
 
 def _home_credit(load: ServerLoad, now: float) -> float:
-    if load.listening_since is None:
+    if load.events_since is None:
         return COLD_CREDIT
-    unheard = 1.0 - (now - load.listening_since) / LISTENING_S
-    return max(HOME_CREDIT, COLD_CREDIT * unheard)
+    unobserved = 1.0 - (now - load.events_since) / EVENT_WARMUP_S
+    return max(HOME_CREDIT, COLD_CREDIT * unobserved)
--- a/src/cassiaford/policy/_queue.py
+++ b/src/cassiaford/policy/_queue.py
@@ -12,8 +12,8 @@
 class Ticket:
     """A request's place in the queue.
 
-    `tokens` is what the request is charged with; `deadline` is the latest
-    time, in seconds on the monotonic clock, at which it may be sent.
+    `tokens` is the number of tokens charged for the request; `deadline` is the
+    latest time, in seconds on the monotonic clock, at which it may be sent.
     """
 
     request_id: str
@@ -28,13 +28,13 @@
 
     @abstractmethod
     def offer(self, ticket: Ticket, now: float) -> Refusal | None:
-        """Take in a ticket, or return why it is refused."""
+        """Queue a ticket, or return its refusal."""
 
     @abstractmethod
     def take(self, now: float, may_dispatch: Callable[[Ticket], bool]) -> Ticket | None:
         """Remove and return the next ticket that may be sent now, if any.
 
-        `may_dispatch` says whether some backend server can take a request.
+        `may_dispatch` returns whether some backend server can take a request.
         """
 
     @abstractmethod
@@ -47,13 +47,13 @@
 
     @abstractmethod
     def __len__(self) -> int:
-        """Return the number of tickets that wait."""
+        """Return the number of queued tickets."""
 
 
 class FifoQueue(RequestQueue):
     """A bounded queue in order of arrival.
 
-    A request that no server can take now does not hold up those behind it.
+    A request that no server can take now does not block those behind it.
 
     Examples
     --------
@@ -69,10 +69,10 @@
         self.tickets = collections.deque()
 
     def offer(self, ticket: Ticket, now: float) -> Refusal | None:
-        """Take in a ticket unless the queue is full."""
+        """Queue a ticket unless the queue is full."""
         if len(self.tickets) >= self.capacity:
             return refuse(
-                RefusalReason.QUEUE_FULL, "too many requests wait", self.wait_s
+                RefusalReason.QUEUE_FULL, "too many requests are queued", self.wait_s
             )
         self.tickets.append(ticket)
         return None
@@ -100,5 +100,5 @@
                 return
 
     def __len__(self) -> int:
-        """Return the number of tickets that wait."""
+        """Return the number of queued tickets."""
         return len(self.tickets)
--- a/src/cassiaford/policy/_resumption.py
+++ b/src/cassiaford/policy/_resumption.py
@@ -1,10 +1,10 @@
-"""When a broken stream is resumed at the server that ran it."""
+"""The decision whether to resume a broken stream on the server that ran it."""
 
 from dataclasses import dataclass
 
 from cassiaford.policy._retries import Failure
 
-# A stream is resumed this often without a new event before it goes elsewhere.
+# After this many resumptions without a new event, another server is tried.
 MAX_FRUITLESS_RESUMES = 2
 
 _RESUMABLE = frozenset(
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True)
 class BrokenStream:
-    """A stream whose connection no longer brings events.
+    """A stream whose connection delivers no more events.
 
-    `known_to_server` says that the server named the request in its answer,
-    so that it does not start the request again for a resumption.
-    `fruitless_resumes` counts those since the newest event.
+    `known_to_server` is true if the server's response named the request, so
+    that a resumption does not start the request again. `fruitless_resumes`
+    counts the resumptions since the latest event.
     """
 
     streaming: bool
@@ -34,7 +34,7 @@
 
 
 def may_resume(stream: BrokenStream, failure: Failure) -> bool:
-    """Return whether the server is asked to go on with a stream.
+    """Return whether to resume a stream on its server.
 
     Examples
     --------
--- a/src/cassiaford/policy/_retries.py
+++ b/src/cassiaford/policy/_retries.py
@@ -1,4 +1,4 @@
-"""Which failed attempts are made again, and how many in all."""
+"""The decision whether to repeat a failed attempt, and the retry budget."""
 
 import enum
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 
 MAX_ATTEMPTS = 4
 
-# Retries may be this share of the first tries, plus a floor that lets a quiet
-# instance retry at all.
-RETRY_SHARE = 0.1
+# Retries may be this fraction of the first attempts, plus a rate that allows
+# retries on an instance with little traffic.
+RETRY_FRACTION = 0.1
 RETRY_FLOOR_PER_S = 1.0
-# As many as a backend server runs at once by default, so that a server's crash
-# loses no request that may be repeated, also on an instance that just started.
+# The default number of slots of a backend server. With it, a server's crash loses
+# no request that may be repeated, even on an instance that has just started.
 CRASH_RESERVE = 32.0
 
 
@@ -26,10 +26,10 @@
 
 
 def indicates_crash(failure: Failure, resuming: bool, has_events: bool) -> bool:
-    """Return whether a failed attempt looks like the crash of its server.
+    """Return whether a failed attempt indicates that its server crashed.
 
-    A stream that has brought events is first resumed; only if its server is
-    gone by then, or no longer knows the stream, did it crash.
+    A stream that has delivered events is resumed first. The server has crashed
+    if it is then unreachable or no longer knows the stream.
     """
     if resuming:
         return failure in (Failure.CONNECT_FAILED, Failure.UNKNOWN_STREAM)
@@ -37,7 +37,7 @@
 
 
 class RetryDecision(enum.Enum):
-    """Whether an attempt is made again, or why not."""
+    """Whether to make another attempt, or why not."""
 
     RETRY = "retry"
     MAY_HAVE_RUN = "may_have_run"
@@ -50,8 +50,8 @@
 class FailedRequest:
     """A request after a failed attempt.
 
-    `verdict` combines all attempts so far; `give_up_at` is the time after
-    which no attempt is made any more.
+    `verdict` combines all attempts so far; no further attempt is made after
+    `deadline`.
     """
 
     verdict: Verdict
@@ -61,12 +61,12 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of recent first tries, plus a small floor.
+    """Allows retries as a fraction of recent first attempts, plus a small rate.
 
-    A reserve, there from the start, covers the requests that a crashed server
-    was running. In the long run failures add at most that share to the load,
-    however many there are: a retry storm needs retries that grow with
-    failures. The idea is that of the retry budgets in Finagle.
+    A reserve, available from the start, covers the requests that a crashed
+    server was running. In the long run, retries add at most that fraction to
+    the load, however many attempts fail; this prevents retry storms. The design
+    follows the retry budgets of Finagle.
 
     Examples
     --------
@@ -78,23 +78,23 @@
     def __init__(
         self,
         now: float,
-        share: float = RETRY_SHARE,
+        fraction: float = RETRY_FRACTION,
         floor_per_s: float = RETRY_FLOOR_PER_S,
         reserve: float = CRASH_RESERVE,
     ):
-        self.share = share
+        self.fraction = fraction
         self.floor_per_s = floor_per_s
         self.capacity = reserve
         self.available = reserve
         self.updated_at = now
 
     def record_first_attempt(self, now: float) -> None:
-        """Take note that a request was sent for the first time."""
+        """Record that a request was sent for the first time."""
         self._refill(now)
-        self.available = min(self.capacity, self.available + self.share)
+        self.available = min(self.capacity, self.available + self.fraction)
 
     def decide(self, request: FailedRequest, now: float) -> RetryDecision:
-        """Decide on one more attempt; a retry is taken from the budget."""
+        """Decide on another attempt; a retry uses up one unit of the budget."""
         if not request.verdict.may_retry(request.repeatable):
             return RetryDecision.MAY_HAVE_RUN
         if request.attempts >= MAX_ATTEMPTS:
--- a/src/cassiaford/policy/_revisions.py
+++ b/src/cassiaford/policy/_revisions.py
@@ -1,7 +1,7 @@
-"""Which configuration revision is in force, and whether it is fresh.
+"""The configuration revision in force, and whether it is fresh.
 
-The revision in force only ever rises. Word of newer ones comes from the
-key-value service and from peers, and either may be out of reach.
+The revision in force never decreases. Newer revisions are announced by the
+key-value service and by peers, either of which may be unreachable.
 """
 
 import collections
@@ -16,22 +16,22 @@
     apply_changes,
 )
 
-# Peers that are no more than this far behind get entries, not a snapshot.
-RECENT_REVISIONS = 64
-# The service's own word usually arrives within this time after a peer's.
+# Peers that are at most this many revisions behind get entries, not a snapshot.
+MAX_RECENT_REVISIONS = 64
+# The service usually delivers a revision within this time of a peer's report.
 FETCH_DELAY_S = 0.3
-FETCH_RETRY_S = 0.5
-# An instance that the service does not answer asks this many peers before it
-# trusts that it knows the newest revision.
-PEERS_TO_HEAR = 3
+FETCH_RETRY_INTERVAL_S = 0.5
+# Without the service, an instance needs reports of this many peers before it
+# starts to serve at the highest revision that they report.
+MIN_PEERS_TO_START = 3
 
 
 @dataclass(frozen=True)
 class RevisionChange:
     """A step from one configuration to a later one.
 
-    `rejected` says that the revision's changes do not fit; it then counts
-    without having an effect, at every instance alike.
+    `rejected` is the reason if the revision's changes cannot be applied; the
+    revision then counts but has no effect, on every instance alike.
     """
 
     old: Configuration
@@ -41,7 +41,7 @@
 
 
 def next_configuration(old: Configuration, revision: Revision) -> RevisionChange:
-    """Return the step to the revision that follows a configuration."""
+    """Return the step from a configuration to the next revision."""
     try:
         new = apply_changes(old, revision)
     except ChangeError as error:
@@ -51,10 +51,10 @@
 
 
 class RevisionPolicy:
-    """Decides what is in force, what to fetch, and whether it is fresh.
+    """Decides which revision is in force, what to fetch, and whether it is fresh.
 
-    `stale_after_s` is the longest time without word from anyone after which
-    the configuration in force is still taken for the newest.
+    `stale_after_s` is the longest time without contact to the service or a peer
+    for which the configuration in force is assumed to be the latest.
     """
 
     def __init__(self, stale_after_s: float, rng: random.Random):
@@ -62,17 +62,17 @@
         self.rng = rng
         self.current = EMPTY_CONFIGURATION
         self.recent: collections.deque[Revision] = collections.deque(
-            maxlen=RECENT_REVISIONS
+            maxlen=MAX_RECENT_REVISIONS
         )
         self.loaded = False
-        self.service_answers = False
+        self.service_reachable = False
         self.service_loaded = False
-        self.word_at = float("-inf")
-        self.told: dict[str, int] = {}
+        self.last_contact_at = float("-inf")
+        self.peer_revisions: dict[str, int] = {}
         self.behind_since: float | None = None
-        self.next_fetch = float("-inf")
+        self.next_fetch_at = float("-inf")
 
-    # What arrives.
+    # Inputs.
 
     def apply_revision(self, revision: Revision) -> RevisionChange | None:
         """Put a revision in force if it is the next one."""
@@ -81,7 +81,7 @@
         change = next_configuration(self.current, revision)
         self.current = change.new
         self.recent.append(revision)
-        self._caught_up()
+        self._clear_if_caught_up()
         return change
 
     def apply_snapshot(self, configuration: Configuration) -> RevisionChange | None:
@@ -90,71 +90,77 @@
             return None
         old, self.current = self.current, configuration
         self.recent.clear()
-        self._caught_up()
+        self._clear_if_caught_up()
         return RevisionChange(old, configuration)
 
     def record_service_load(self, as_of: float) -> None:
-        """Take note that all that the service held at a time is in force."""
+        """Record that all that the service stored at a time is in force."""
         self.loaded = True
         self.service_loaded = True
         self.record_service_contact(as_of)
 
     def record_service_contact(self, as_of: float) -> None:
-        """Take note that the service had nothing newer at a time."""
-        self.service_answers = True
-        self.word_at = max(self.word_at, as_of)
-        self._caught_up()
+        """Record that the service had no newer revision at a time."""
+        self.service_reachable = True
+        self.last_contact_at = max(self.last_contact_at, as_of)
+        self._clear_if_caught_up()
 
     def record_peer_load(self, as_of: float) -> None:
-        """Take note that all that a peer held at a time is in force."""
+        """Record that all that a peer had in force at a time is in force here."""
         self.loaded = True
-        self.word_at = max(self.word_at, as_of)
-        self._caught_up()
+        self.last_contact_at = max(self.last_contact_at, as_of)
+        self._clear_if_caught_up()
 
     def record_service_failure(self) -> None:
-        """Take note that the service does not answer."""
-        self.service_answers = False
+        """Record that the service is unreachable."""
+        self.service_reachable = False
 
     def record_newer_revision(self, now: float) -> None:
-        """Take note that the service has something that is not in force."""
+        """Record that a newer revision exists that is not in force here."""
         if self.behind_since is None:
             self.behind_since = now
 
     def update_from_peer(
         self, instance: str, revision: int, as_of: float | None, now: float
     ) -> None:
-        """Take note of the revision in force at a peer.
+        """Record the revision in force at a peer.
 
-        `as_of` is a time at which that was surely so, or None. A peer that is
-        behind does not vouch for the revision in force here.
+        `as_of` is a time at which it was certainly in force, or None. A peer that
+        is behind does not confirm that the revision in force here is the latest.
         """
-        self.told[instance] = max(revision, self.told.get(instance, 0))
+        self.peer_revisions[instance] = max(
+            revision, self.peer_revisions.get(instance, 0)
+        )
         if revision > self.current.revision:
             self.record_newer_revision(now)
             return
-        vouches = self.loaded and revision == self.current.revision
-        if vouches and as_of is not None:
-            self.word_at = max(self.word_at, as_of)
+        confirms = self.loaded and revision == self.current.revision
+        if confirms and as_of is not None:
+            self.last_contact_at = max(self.last_contact_at, as_of)
 
     def remove_peer(self, instance: str) -> None:
-        """Drop what a peer told that is gone."""
-        self.told.pop(instance, None)
+        """Remove the reported revision of a peer that is gone."""
+        self.peer_revisions.pop(instance, None)
 
-    # What to do.
+    # Actions.
 
     def choose_fetch_peer(self, now: float) -> str | None:
-        """Return the peer to fetch from now, if anything is lacking."""
-        ahead = [p for p, n in self.told.items() if n > self.current.revision]
-        if not ahead or now < self.next_fetch:
+        """Return the peer to fetch from now, or None if no fetch is due."""
+        peers_ahead = [
+            p for p, n in self.peer_revisions.items() if n > self.current.revision
+        ]
+        if not peers_ahead or now < self.next_fetch_at:
             return None
-        if self._service_may_tell(now):
+        if self._service_may_deliver(now):
             return None
-        self.next_fetch = now + FETCH_RETRY_S
-        highest = max(self.told[peer] for peer in ahead)
-        return self.rng.choice([p for p in ahead if self.told[p] == highest])
+        self.next_fetch_at = now + FETCH_RETRY_INTERVAL_S
+        highest_revision = max(self.peer_revisions[peer] for peer in peers_ahead)
+        return self.rng.choice(
+            [p for p in peers_ahead if self.peer_revisions[p] == highest_revision]
+        )
 
     def entries_after(self, number: int) -> tuple[Revision, ...] | None:
-        """Return what follows a revision, or None if that is not kept."""
+        """Return the entries after a revision, or None if they are discarded."""
         if number >= self.current.revision:
             return ()
         if not self.recent or number < self.recent[0].number - 1:
@@ -162,14 +168,14 @@
         return tuple(entry for entry in self.recent if entry.number > number)
 
     def choose_peers(self, peers: list[str], count: int) -> list[str]:
-        """Return some of the peers to tell of a new revision."""
+        """Return a random sample of the peers, to be notified of a new revision."""
         return self.rng.sample(peers, min(count, len(peers)))
 
-    # What to tell.
+    # State.
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether a withdrawal would have been noticed by now."""
-        if not self.loaded or now - self.word_at > self.stale_after_s:
+        """Return whether a withdrawal, such as of a key, would have arrived by now."""
+        if not self.loaded or now - self.last_contact_at > self.stale_after_s:
             return False
         if self.behind_since is None:
             return True
@@ -178,25 +184,25 @@
     def is_ready(self, peer_count: int) -> bool:
         """Return whether serving may start.
 
-        It may not at a revision lower than the peers know, so an instance
-        that learnt the configuration from peers alone first hears several.
+        It may not at a lower revision than the peers have. An instance that got
+        its configuration from peers alone therefore needs reports of several.
         """
         if not self.loaded or self.current.revision < self.highest_peer_revision():
             return False
         if self.service_loaded:
             return True
-        return len(self.told) >= min(PEERS_TO_HEAR, peer_count)
+        return len(self.peer_revisions) >= min(MIN_PEERS_TO_START, peer_count)
 
     def highest_peer_revision(self) -> int:
-        """Return the highest revision that a peer has told of."""
-        return max(self.told.values(), default=0)
+        """Return the highest revision that a peer has reported."""
+        return max(self.peer_revisions.values(), default=0)
 
-    def _service_may_tell(self, now):
-        if not (self.loaded and self.service_answers):
+    def _service_may_deliver(self, now):
+        if not (self.loaded and self.service_reachable):
             return False
         return now < (self.behind_since or now) + FETCH_DELAY_S
 
-    def _caught_up(self):
+    def _clear_if_caught_up(self):
         if self.current.revision >= self.highest_peer_revision():
             self.behind_since = None
-            self.next_fetch = float("-inf")
+            self.next_fetch_at = float("-inf")
--- a/src/cassiaford/policy/_share_messages.py
+++ b/src/cassiaford/policy/_share_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about shares of a customer's budget."""
+"""The messages between instances about shares of a customer's budget."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class ReturnedLoan:
-    """A loan that the borrower has given up, with the tokens it did not use."""
+    """A loan that the borrower returns, with the number of unused tokens."""
 
     loan: int
     unused: float
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True)
 class LoanRequest:
-    """Asks an owner for tokens of a customer.
+    """Requests tokens of a customer from an owner.
 
-    The borrower never uses a `loan` number twice and sends rising ones.
-    `returned` are loans of the same owner that the borrower holds no more;
-    `refund` are tokens of requests that used less than was charged.
+    `loan` is the loan's number; the numbers of a borrower always increase.
+    `returned` are loans of the same owner that the borrower returns; `refund`
+    is the number of tokens that requests were charged but did not use.
     """
 
     customer: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class LoanGrant:
-    """Lends tokens, perhaps none; `level` is what the owner has left."""
+    """Grants a loan, perhaps of no tokens; `level` is the owner's new level."""
 
     customer: str
     loan: int
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True)
 class LedgerPoll:
-    """Tells the epoch of the sender's ledger and asks for the receiver's.
+    """Reports the epoch of the sender's ledger and requests the receiver's.
 
-    `number` comes back in the answer, so that an answer from before a pause
-    is told from one after it.
+    The reply repeats `number`, which distinguishes replies to polls from before
+    a pause from later ones.
     """
 
     number: int
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True)
 class LedgerReport:
-    """Tells the epoch that the sender acts by, in answer to a poll.
+    """Reports the epoch of the ledger that the sender applies, in reply to a poll.
 
-    `ledger` is set if the asking instance's epoch was lower. `sure` is false
-    if the sender itself was paused and has not yet heard what it missed.
+    `ledger` is set if the poll named a lower epoch. `confirmed` is false if the
+    sender was paused and may have missed a later ledger.
     """
 
     number: int
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class SendShareMessage:
-    """Asks the shell to send a message to an instance."""
+    """A request to the caller to send a message to an instance."""
 
     instance: str
     message: ShareMessage
--- a/src/cassiaford/policy/_shares.py
+++ b/src/cassiaford/policy/_shares.py
@@ -1,35 +1,36 @@
-"""Shares of customers' rates and bursts, held by the instances of the fleet.
+"""Shares of customers' rates and bursts, distributed over the fleet's instances.
 
-Each customer's rate and burst are split evenly over a few owners. Tokens
-follow demand by loans between instances: a loan moves tokens, and with them
-as much of the burst, for a fraction of a second. The owner deducts before it
-sends, so a lost message loses tokens and never makes any; the borrower's time
-runs from its request and the owner's from its answer, so the borrower's ends
-first. A loan that is used up or idle is returned with a later message.
+Each customer's rate and burst are split evenly over a few owners. Loans between
+instances move tokens to where the demand is: a loan transfers tokens, and the
+same amount of the burst, for a fraction of a second. The owner deducts before
+it sends, so a lost message loses tokens and never creates any. A loan's time
+starts with the borrower's request at the borrower and with the reply at the
+owner, so it ends at the borrower first. A used or idle loan is returned with a
+later message.
 
 A ledger in the key-value service names the incarnations that may own shares,
-and nothing else: it is written when one joins, leaves, or is certainly gone.
-An instance shrinks its shares as soon as it learns of a new ledger, and lets
-them grow once every holder has reported that very ledger and all loans from
-before have lapsed; it asks for reports only if it has something to gain.
+and nothing else: it is written when one joins, leaves, or has certainly ended.
+An instance reduces its shares as soon as it receives a new ledger. It increases
+them once every holder has reported that ledger and all earlier loans have
+expired; it polls for the reports only if one of its shares can grow.
 """
 
 import itertools
 from collections.abc import Iterable, Mapping
 
 from cassiaford.policy._ledger_reports import (
-    POLLS_AT_ONCE,
+    MAX_POLLS_PER_ROUND,
     LedgerReports,
-    names_of,
+    instance_names,
 )
 from cassiaford.policy._owners import (
-    OWNERS,
+    OWNERS_PER_CUSTOMER,
     Holder,
     Ledger,
     OwnerTable,
     rendezvous_score,
 )
-from cassiaford.policy._share import LOAN_MARGIN_S, LOAN_S, Limit, Share
+from cassiaford.policy._share import LOAN_MARGIN_S, LOAN_TTL_S, Limit, Share
 from cassiaford.policy._share_messages import (
     LedgerPoll,
     LedgerReport,
@@ -39,15 +40,15 @@
     ShareMessage,
 )
 
-# An instance whose clock jumped by more than this was paused: it may have been
-# taken for gone, and waits for word before it uses its shares again.
+# An instance whose clock jumped by more than this was paused. Others may have
+# removed it from the ledger, so it needs confirmation to use its shares again.
 PAUSE_S = 2.0
-PEERS_TO_ASK = 3
-LOANS_LAPSED_S = LOAN_S + 2 * LOAN_MARGIN_S
-# A customer whose limits have not arrived yet may try again after this time.
-UNKNOWN_RETRY_S = 1.0
-SWEEP_S = 10.0
-UNUSED_S = 60.0
+PEERS_TO_POLL = 3
+LOANS_EXPIRED_AFTER_S = LOAN_TTL_S + 2 * LOAN_MARGIN_S
+# A customer whose limits have not arrived yet may retry after this time.
+UNKNOWN_CUSTOMER_RETRY_S = 1.0
+SWEEP_INTERVAL_S = 10.0
+UNUSED_SHARE_TTL_S = 60.0
 NO_LIMIT = Limit(1.0, 0.0)
 
 
@@ -59,16 +60,20 @@
     """
 
     def __init__(
-        self, instance: str, incarnation: int, now: float, owners: int = OWNERS
+        self,
+        instance: str,
+        incarnation: int,
+        now: float,
+        owners: int = OWNERS_PER_CUSTOMER,
     ):
         self.holder = Holder(instance, incarnation)
         self.ledger = Ledger()
         self.table = OwnerTable(owners)
         self.limits = {}
         self.shares = {}
-        self._busy = set()
+        self._active = set()
         self._swept_at = now
-        self.founder = False
+        self.is_first_holder = False
         self.converged = False
         self.awaits_growth = False
         self.suspended = False
@@ -76,56 +81,56 @@
         self.gone = {}
         self.last_tick = now
         self.reports = LedgerReports(self.holder, now)
-        self._woke_at = now
+        self._resumed_at = now
         self._numbers = itertools.count(1)
-        self._last_asks = {}
+        self._last_loans = {}
 
     # Charging.
 
     def charge(self, customer: str, tokens: float, now: float) -> bool:
-        """Take tokens if the instance holds enough; return whether it does."""
-        share = self._current(customer, now)
+        """Take tokens if enough are available; return whether they were."""
+        share = self._activate(customer, now)
         return share.take(tokens, not self.suspended, now)
 
     def refund(self, customer: str, tokens: float, now: float) -> None:
-        """Give back tokens that were not used; negative tokens are a debt."""
+        """Refund tokens that were not used; negative tokens are a debt."""
         if customer in self.limits:
-            self._current(customer, now).refund(tokens, now)
+            self._activate(customer, now).refund(tokens, now)
 
     def request_loans(
         self, customer: str, tokens: float, now: float
     ) -> tuple[SendShareMessage, ...]:
-        """Return requests for the tokens that a charge lacks.
+        """Return loan requests for the tokens that a charge is missing.
 
-        Returns nothing if the owners are known to have too little together.
+        Returns none if all owners together are known to have too few tokens.
         """
-        share = self._current(customer, now)
-        return share.ask(tokens, not self.suspended, self._numbers, now)
+        share = self._activate(customer, now)
+        return share.request_loans(tokens, not self.suspended, self._numbers, now)
 
     def awaits_reply(self, customer: str, now: float) -> bool:
-        """Return whether an owner's answer is still to be expected."""
-        return self._current(customer, now).awaits_answer(now)
+        """Return whether a reply of an owner is expected."""
+        return self._activate(customer, now).awaits_reply(now)
 
     def retry_after(self, customer: str, tokens: float, now: float) -> float:
-        """Return the seconds until the fleet has so many tokens again."""
+        """Return the seconds until the fleet has enough tokens."""
         if customer not in self.limits:
-            return UNKNOWN_RETRY_S
-        share = self._current(customer, now)
-        return share.wait_for(tokens, not self.suspended, now)
+            return UNKNOWN_CUSTOMER_RETRY_S
+        share = self._activate(customer, now)
+        return share.seconds_until(tokens, not self.suspended, now)
 
     # Messages and time.
 
     def receive(
         self, sender: Holder, message: ShareMessage, now: float
     ) -> tuple[SendShareMessage, ...]:
-        """Take in a message and return the answers to it."""
+        """Process a message and return the replies to it."""
         match message:
             case LoanRequest():
-                return self._on_ask(sender, message, now)
+                return self._on_loan_request(sender, message, now)
             case LoanGrant():
                 if message.customer in self.limits:
-                    share = self._current(message.customer, now)
-                    share.borrow(sender.instance, message, now)
+                    share = self._activate(message.customer, now)
+                    share.apply_grant(sender.instance, message, now)
             case LedgerPoll():
                 return self._on_poll(sender, message)
             case LedgerReport():
@@ -135,17 +140,20 @@
     def tick(
         self, now: float, peers: Iterable[str] = ()
     ) -> tuple[SendShareMessage, ...]:
-        """Do what is due; `peers` can tell the ledger if the service cannot."""
+        """Perform the work that is due; return the messages to send.
+
+        `peers` can provide the ledger if the service is unreachable.
+        """
         self._check_pause(now)
         self.last_tick = now
         sends = []
-        for name in list(self._busy):
-            share = self._share(name, now)
+        for name in list(self._active):
+            share = self._get_or_add(name, now)
             share.advance(now)
-            sends.extend(share.give_back(self._numbers, now))
+            sends.extend(share.return_loans(self._numbers, now))
             if share.is_idle():
-                self._busy.discard(name)
-        self._drop_unused(now)
+                self._active.discard(name)
+        self._remove_unused(now)
         sends.extend(self._poll(peers, now))
         self._grow(now)
         return tuple(sends)
@@ -153,68 +161,70 @@
     # Configuration and ledger.
 
     def configure(self, limits: Mapping[str, Limit], now: float) -> None:
-        """Put the customers' limits in force.
+        """Apply the customers' limits.
 
-        A customer that was not in the previous configuration has its whole
-        burst; those of the first configuration may have used theirs before
+        A customer that was not in the previous configuration gets its whole
+        burst. Customers of the first configuration may have used theirs before
         this instance started.
         """
-        known = self.limits
+        previous = self.limits
         self.limits = dict(limits)
         for name in [name for name in self.shares if name not in limits]:
             del self.shares[name]
-            self._busy.discard(name)
-        self.table.update(self.limits, self._names())
+            self._active.discard(name)
+        self.table.update(self.limits, self._holder_names())
         for name, limit in self.limits.items():
             if self._owned(name) > 0 or name in self.shares:
-                share = self._share(name, now)
+                share = self._get_or_add(name, now)
                 share.limit = limit
                 share.resize(now)
-                if name not in known and self.converged:
-                    self._fill(share, now, full=self.founder or bool(known))
-        self.awaits_growth = self._has_to_gain()
+                if name not in previous and self.converged:
+                    self._set_to_owned(
+                        share, now, fill=self.is_first_holder or bool(previous)
+                    )
+        self.awaits_growth = self._owns_more_than_it_holds()
 
     def apply_ledger(self, ledger: Ledger, now: float) -> bool:
-        """Act by a ledger if it is later than the present one."""
+        """Apply a ledger if it is later than the current one; return whether it is."""
         if ledger.epoch <= self.ledger.epoch:
             return False
         self.ledger = ledger
-        self.table.update(self.limits, self._names())
-        self.reports.restart(ledger)
-        self.founder = False
+        self.table.update(self.limits, self._holder_names())
+        self.reports.collect_for(ledger)
+        self.is_first_holder = False
         self.converged = False
         for name, share in self.shares.items():
             share.fraction = min(share.fraction, self._owned(name))
             share.set_owners(self.table.owners(name), self.holder.instance, now)
             share.resize(now)
-        self.awaits_growth = self._has_to_gain()
+        self.awaits_growth = self._owns_more_than_it_holds()
         return True
 
-    def found(self, ledger: Ledger, now: float) -> None:
-        """Begin as the only holder of the first ledger, with full buckets."""
+    def apply_first_ledger(self, ledger: Ledger, now: float) -> None:
+        """Apply the first ledger, with this as the only holder and full buckets."""
         self.apply_ledger(ledger, now)
-        self.founder = True
+        self.is_first_holder = True
         self.converged = True
         for name in self.limits:
-            self._fill(self._share(name, now), now, full=True)
+            self._set_to_owned(self._get_or_add(name, now), now, fill=True)
         self.awaits_growth = False
 
     def apply_service_ledger(self, ledger: Ledger, read_at: float, now: float) -> None:
-        """Take in the ledger as the service has it.
+        """Apply the ledger that was read from the service.
 
-        `read_at` is when the reading began: only a reading that began after
-        a pause tells what was missed in it.
+        `read_at` is when the read started: only a read that started after a
+        pause shows what was missed during it.
         """
         self._check_pause(now)
         if self._is_own_first(ledger):
-            self.found(ledger, now)
+            self.apply_first_ledger(ledger, now)
         else:
             self.apply_ledger(ledger, now)
-        if read_at >= self._woke_at:
+        if read_at >= self._resumed_at:
             self.suspended = False
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Take note that an incarnation, and any before it, runs no more."""
+        """Record that an incarnation and all earlier ones have ended."""
         self.gone[instance] = max(incarnation, self.gone.get(instance, 0))
         if self._is_gone(self.holder):
             self.left = True
@@ -222,37 +232,37 @@
     def next_ledger(self) -> Ledger | None:
         """Return the ledger that this instance should write, if any.
 
-        An instance enters and leaves by itself; the first holder that is
-        left removes those that are gone.
+        Each instance adds and removes itself; the first remaining holder removes
+        those that have ended.
         """
-        present = self.ledger.incarnation_of(self.holder.instance)
-        if present is not None and present > self.holder.incarnation:
+        current = self.ledger.incarnation_of(self.holder.instance)
+        if current is not None and current > self.holder.incarnation:
             return None
         if self.left:
-            wanted = present == self.holder.incarnation
-            return self.ledger.without(self.holder) if wanted else None
-        if present != self.holder.incarnation:
+            is_holder = current == self.holder.incarnation
+            return self.ledger.without(self.holder) if is_holder else None
+        if current != self.holder.incarnation:
             return self.ledger.with_holder(self.holder)
         gone = [holder for holder in self.ledger.holders if self._is_gone(holder)]
-        left = [holder for holder in self.ledger.holders if holder not in gone]
-        if gone and left[0] == self.holder:
-            return Ledger(self.ledger.epoch + 1, tuple(left))
+        remaining = [holder for holder in self.ledger.holders if holder not in gone]
+        if gone and remaining[0] == self.holder:
+            return Ledger(self.ledger.epoch + 1, tuple(remaining))
         return None
 
     def leave(self, now: float) -> None:
-        """Use and lend no share any more, for good."""
+        """Stop using and lending all shares permanently."""
         self.left = True
         for share in self.shares.values():
             share.fraction = 0.0
             share.resize(now)
 
     def is_connected(self) -> bool:
-        """Return whether the ledger is settled and all its holders are heard."""
-        known = self.holder in self.ledger.holders
-        return known and self.converged and not self.reports.missing(self.ledger)
+        """Return whether the shares have converged and all holders have reported."""
+        is_holder = self.holder in self.ledger.holders
+        return is_holder and self.converged and not self.reports.missing(self.ledger)
 
     def check_pause(self, now: float) -> bool:
-        """Return whether the instance was paused and lacks word since."""
+        """Return whether the instance was paused and is not confirmed since."""
         self._check_pause(now)
         return self.suspended
 
@@ -265,24 +275,24 @@
 
     # Shares.
 
-    def _current(self, customer, now):
+    def _activate(self, customer, now):
         self._check_pause(now)
-        share = self._share(customer, now)
+        share = self._get_or_add(customer, now)
         share.advance(now)
-        self._busy.add(customer)
+        self._active.add(customer)
         return share
 
-    def _drop_unused(self, now):
-        """Forget customers that this instance neither owns nor serves."""
-        if now < self._swept_at + SWEEP_S:
+    def _remove_unused(self, now):
+        """Remove shares of customers that this instance neither owns nor serves."""
+        if now < self._swept_at + SWEEP_INTERVAL_S:
             return
         self._swept_at = now
         for name, share in list(self.shares.items()):
-            unused = share.fraction == 0 and now > share.demand_at + UNUSED_S
-            if unused and name not in self._busy:
+            unused = share.fraction == 0 and now > share.demand_at + UNUSED_SHARE_TTL_S
+            if unused and name not in self._active:
                 del self.shares[name]
 
-    def _share(self, customer, now):
+    def _get_or_add(self, customer, now):
         share = self.shares.get(customer)
         if share is None:
             share = Share(customer, self.limits.get(customer, NO_LIMIT), now)
@@ -290,10 +300,10 @@
             self.shares[customer] = share
         return share
 
-    def _fill(self, share, now, full):
+    def _set_to_owned(self, share, now, fill):
         share.fraction = self._owned(share.customer)
         share.resize(now)
-        if full:
+        if fill:
             share.bucket.level = share.bucket.capacity
 
     def _owned(self, customer):
@@ -301,10 +311,10 @@
             return 0.0
         return self.table.fraction(customer, self.holder.instance)
 
-    def _names(self):
-        return names_of(self.ledger.holders)
+    def _holder_names(self):
+        return instance_names(self.ledger.holders)
 
-    def _has_to_gain(self):
+    def _owns_more_than_it_holds(self):
         return any(self._owned(name) > self._fraction(name) for name in self.limits)
 
     def _fraction(self, customer):
@@ -313,19 +323,19 @@
 
     # Messages.
 
-    def _on_ask(self, sender, ask, now):
-        if ask.customer not in self.limits:
+    def _on_loan_request(self, sender, request, now):
+        if request.customer not in self.limits:
             return (
                 SendShareMessage(
-                    sender.instance, LoanGrant(ask.customer, ask.loan, 0.0, 0.0)
+                    sender.instance, LoanGrant(request.customer, request.loan, 0.0, 0.0)
                 ),
             )
-        fresh = ask.loan > self._last_asks.get(sender, 0)
-        if fresh:
-            self._last_asks[sender] = ask.loan
-        share = self._current(ask.customer, now)
-        grant = share.lend(sender, ask, not self.suspended, fresh, now)
-        return (SendShareMessage(sender.instance, grant),) if ask.tokens > 0 else ()
+        is_new = request.loan > self._last_loans.get(sender, 0)
+        if is_new:
+            self._last_loans[sender] = request.loan
+        share = self._activate(request.customer, now)
+        grant = share.lend(sender, request, not self.suspended, is_new, now)
+        return (SendShareMessage(sender.instance, grant),) if request.tokens > 0 else ()
 
     def _on_poll(self, sender, poll):
         ledger = self.ledger if self.ledger.epoch > poll.epoch else None
@@ -341,28 +351,28 @@
     def _on_report(self, sender, report, now):
         if report.ledger is not None:
             self.apply_ledger(report.ledger, now)
-        self.reports.note(sender, report)
+        self.reports.add(sender, report)
         if self.suspended and self.reports.confirmed(self.ledger):
             self.suspended = False
 
     def _poll(self, peers, now):
-        wanted = self._to_poll(peers, now)[:POLLS_AT_ONCE]
-        if not wanted or not self.reports.poll_due(now):
+        targets = self._poll_targets(peers, now)[:MAX_POLLS_PER_ROUND]
+        if not targets or not self.reports.poll_due(now):
             return []
         poll = self.reports.next_poll(self.ledger.epoch)
-        return [SendShareMessage(instance, poll) for instance in wanted]
+        return [SendShareMessage(instance, poll) for instance in targets]
 
-    def _to_poll(self, peers, now):
+    def _poll_targets(self, peers, now):
         own = self.holder.instance
         if not self.ledger.epoch:
-            # Others each time, since some may not know it either.
+            # Choose different peers each time, as some may not know it either.
             salt = f"{own}/{now}"
             ranked = sorted(peers, key=lambda name: rendezvous_score(salt, name))
-            return [name for name in ranked if name != own][:PEERS_TO_ASK]
+            return [name for name in ranked if name != own][:PEERS_TO_POLL]
         if self.suspended:
-            return [name for name in self._names() if name != own]
+            return [name for name in self._holder_names() if name != own]
         if self.awaits_growth:
-            return names_of(self.reports.missing(self.ledger))
+            return instance_names(self.reports.missing(self.ledger))
         return []
 
     # Growth and pauses.
@@ -370,18 +380,18 @@
     def _grow(self, now):
         if not self.awaits_growth or self.suspended:
             return
-        complete_s = self.reports.complete_for(self.ledger, now)
-        if self.reports.complete_since is None or complete_s < LOANS_LAPSED_S:
+        complete_s = self.reports.complete_for_s(self.ledger, now)
+        if self.reports.complete_since is None or complete_s < LOANS_EXPIRED_AFTER_S:
             return
         self.converged = True
         self.awaits_growth = False
         for name in self.limits:
             if self._owned(name):
-                self._fill(self._share(name, now), now, full=False)
+                self._set_to_owned(self._get_or_add(name, now), now, fill=False)
 
     def _check_pause(self, now):
         if now - self.last_tick > PAUSE_S:
             self.suspended = True
-            self._woke_at = now
-            self.reports.woke(now)
+            self._resumed_at = now
+            self.reports.record_pause(now)
             self.last_tick = now
--- a/src/cassiaford/policy/_suspects.py
+++ b/src/cassiaford/policy/_suspects.py
@@ -1,12 +1,12 @@
-"""Requests that crash the backend servers that run them.
+"""Detection of requests that crash the backend servers that run them.
 
 When a server crashes, every request that was running on it is suspect, since
-any one may be the cause. A request that was present at two crashes, by the
-whole fleet's count, is refused at once. One that completes is cleared.
+any of them may be the cause. A request that was present at two crashes, counted
+over the whole fleet, is refused from then on. One that completes is cleared.
 
-A request beside a fatal one shares one crash with it. If suspects are not run
-beside each other (`is_suspect` tells), the fatal one is alone among suspects
-at its second crash, and those beside it have one crash to their name again.
+A request that runs beside a fatal one is present at its first crash as well. If
+suspects never run beside each other (see `is_suspect`), the fatal request is
+the only suspect at its second crash; the requests beside it then have one crash.
 """
 
 import collections
@@ -15,14 +15,14 @@
 
 CRASHES_TO_REFUSE = 2
 # Without a further crash, a suspicion or a refusal ends after this time.
-SUSPICION_S = 3600.0
+SUSPICION_TTL_S = 3600.0
 MAX_SUSPECTS = 10_000
-MAX_VOID = 20_000
+MAX_INVALIDATED = 20_000
 
 
 @dataclass(frozen=True)
 class Crash:
-    """Names one crash: a server and its incarnation that ended by it."""
+    """The identity of a crash: a server and the incarnation that it ended."""
 
     server: str
     incarnation: str
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True)
 class CrashReport:
-    """A crash and the fingerprints of requests that were running there.
+    """A crash and the fingerprints of the requests that were running there.
 
-    Every instance reports its own requests; reports of one crash add up.
+    Each instance reports its own requests; the reports of a crash are merged.
     """
 
     crash: Crash
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class ClearedFingerprint:
-    """A fingerprint that completed, and the crashes it is cleared of."""
+    """The fingerprint of a completed request, and the crashes it is cleared of."""
 
     fingerprint: str
     crashes: tuple[Crash, ...]
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class SuspicionRequest:
-    """Asks a peer for every suspicion that it has."""
+    """Requests all suspicions of a peer."""
 
 
 SuspectMessage = CrashReport | ClearedFingerprint | SuspicionRequest
@@ -57,45 +57,45 @@
 
 @dataclass
 class Suspicion:
-    """The crashes that a fingerprint was present at."""
+    """The crashes at which a fingerprint was present."""
 
     crashes: set[Crash]
     last_at: float
 
 
 class SuspectTracker:
-    """What one instance knows of the requests that may crash servers.
+    """One instance's record of the requests that may crash servers.
 
     Times are in seconds on the instance's monotonic clock.
 
     Examples
     --------
-    >>> book = SuspectTracker()
+    >>> tracker = SuspectTracker()
     >>> for server in ("engine-1", "engine-2"):
-    ...     book.record_crash(Crash(server, "1"), ("f",), 0.0)
-    >>> book.is_refused("f", 0.0)
+    ...     tracker.record_crash(Crash(server, "1"), ("f",), 0.0)
+    >>> tracker.is_refused("f", 0.0)
     True
     """
 
     def __init__(self):
         self.suspicions = collections.OrderedDict()
-        self._void = collections.OrderedDict()
+        self._invalidated = collections.OrderedDict()
 
     def record_crash(
         self, crash: Crash, fingerprints: tuple[str, ...], now: float
     ) -> None:
-        """Take note of the requests that were running where a server crashed."""
+        """Record the requests that were running on a server when it crashed."""
         for fingerprint in fingerprints:
-            if (fingerprint, crash) not in self._void:
-                self._suspect(fingerprint, crash, now)
+            if (fingerprint, crash) not in self._invalidated:
+                self._add_crash(fingerprint, crash, now)
 
     def record_completion(
         self, fingerprint: str, now: float
     ) -> ClearedFingerprint | None:
-        """Take note of a completion; return what peers should be told, if any.
+        """Record a completion; return the clearance to send to peers, if any.
 
-        A fingerprint that is refused stays so: a run that ends late is no
-        proof that the next one does no harm.
+        A refused fingerprint stays refused: a run that completes late does not
+        prove that the next one is harmless.
         """
         if not self.is_suspect(fingerprint, now) or self.is_refused(fingerprint, now):
             return None
@@ -105,11 +105,11 @@
         return cleared
 
     def clear(self, cleared: ClearedFingerprint) -> None:
-        """Void crashes of a fingerprint, also those that are yet to be told."""
+        """Invalidate crashes of a fingerprint, also if they are reported later."""
         for crash in cleared.crashes:
-            self._void[cleared.fingerprint, crash] = True
-        while len(self._void) > MAX_VOID:
-            self._void.popitem(last=False)
+            self._invalidated[cleared.fingerprint, crash] = True
+        while len(self._invalidated) > MAX_INVALIDATED:
+            self._invalidated.popitem(last=False)
         suspicion = self.suspicions.get(cleared.fingerprint)
         if suspicion is not None:
             suspicion.crashes.difference_update(cleared.crashes)
@@ -118,11 +118,11 @@
 
     def is_suspect(self, fingerprint: str, now: float) -> bool:
         """Return whether a request was present at a crash."""
-        return self._count(fingerprint, now) > 0
+        return self._crash_count(fingerprint, now) > 0
 
     def is_refused(self, fingerprint: str, now: float) -> bool:
         """Return whether a request was present at too many crashes."""
-        return self._count(fingerprint, now) >= CRASHES_TO_REFUSE
+        return self._crash_count(fingerprint, now) >= CRASHES_TO_REFUSE
 
     def crash_reports(self) -> tuple[CrashReport, ...]:
         """Return every suspicion, for a peer that has just started."""
@@ -132,17 +132,17 @@
                 by_crash[crash].append(fingerprint)
         return tuple(CrashReport(crash, tuple(f)) for crash, f in by_crash.items())
 
-    def _count(self, fingerprint, now):
+    def _crash_count(self, fingerprint, now):
         suspicion = self.suspicions.get(fingerprint)
         if suspicion is None:
             return 0
-        if now >= suspicion.last_at + SUSPICION_S:
+        if now >= suspicion.last_at + SUSPICION_TTL_S:
             del self.suspicions[fingerprint]
             return 0
         return len(suspicion.crashes)
 
-    def _suspect(self, fingerprint, crash, now):
-        self._count(fingerprint, now)
+    def _add_crash(self, fingerprint, crash, now):
+        self._crash_count(fingerprint, now)
         suspicion = self.suspicions.setdefault(fingerprint, Suspicion(set(), now))
         if crash not in suspicion.crashes:
             suspicion.crashes.add(crash)
@@ -157,9 +157,10 @@
 ) -> frozenset[str]:
     """Return the servers on which an instance runs its suspects.
 
-    The servers are dealt out to the instances. So two instances that have just
-    lost a server, and have not yet told each other, do not send their suspects
-    to the same one. Where instances outnumber servers, several share one.
+    The servers are divided among the instances, so that two instances that have
+    just lost a server, and have not reported it to each other yet, do not send
+    their suspects to the same one. If there are more instances than servers,
+    several instances share one.
 
     Examples
     --------
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -8,7 +8,7 @@
 
 from cassiaford.policy import Ticket, create_fair_queue
 from cassiaford.policy._class_queue import QUANTUM_TOKENS
-from cassiaford.policy._fair_queue import PATIENCE_S, SERVICE_CLASSES
+from cassiaford.policy._fair_queue import MAX_SKIPPED_S, SERVICE_CLASSES
 from cassiaford.verdict import RefusalReason, Verdict
 
 MAX_TOKENS = 40_000
@@ -73,7 +73,7 @@
             self.offer(ticket(number, "b", "interactive", 500), now=last)
             if self.queue.take(last, always).request_id == "digest":
                 break
-        self.assertAlmostEqual(last, PATIENCE_S["batch"], delta=0.2)
+        self.assertAlmostEqual(last, MAX_SKIPPED_S["batch"], delta=0.2)
 
     def test_blocked_request_does_not_hold_up_other_customers(self):
         self.offer(ticket("blocked", "a"), ticket("free", "b"))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -190,16 +190,18 @@
         self.policy.record_start(placement, request(), 1.0)
         self.policy.record_end("r0", 1.1)
         self.assertEqual(self.place(request(1)).cached_tokens, 0)
-        self.assertEqual(self.policy.beliefs.loads[placement.server].own_tokens, 0)
+        self.assertEqual(
+            self.policy.server_states.loads[placement.server].own_tokens, 0
+        )
 
     def test_request_started_again_counts_once(self):
         first, second = NAMES[:2]
         for name in (first, second):
             placement = self.place(request(), views([name]))
             self.policy.record_start(placement, request(), 1.0)
-        self.assertEqual(self.policy.beliefs.loads[first].own_tokens, 0)
+        self.assertEqual(self.policy.server_states.loads[first].own_tokens, 0)
         self.policy.record_end("r0", 2.0)
-        self.assertEqual(self.policy.beliefs.loads[second].own_tokens, 0)
+        self.assertEqual(self.policy.server_states.loads[second].own_tokens, 0)
 
     def test_own_requests_count_before_any_report(self):
         chains = [(number + 1,) * 20 for number in range(200)]
@@ -231,11 +233,11 @@
             self.policy.record_start(placement, request(number, chain), float(number))
             self.policy.record_first_token(f"r{number}", number + 10_340 / 40_000)
             self.policy.record_end(f"r{number}", number + 0.5)
-        speed = self.policy.beliefs.loads[name].tokens_per_s
+        speed = self.policy.server_states.loads[name].tokens_per_s
         self.assertAlmostEqual(speed, 40_000, delta=2_500)
 
     def test_memory_stays_bounded_and_nothing_leaks(self):
-        self.policy = create_placement(known_blocks=100)
+        self.policy = create_placement(max_blocks=100)
         for number in range(500):
             chain = tuple(range(number * 10 + 1, number * 10 + 11))
             self.serve(request(number, chain), float(number))
@@ -245,8 +247,10 @@
             if number % 50 == 0:
                 self.policy.remove_server(name)
         self.assertLessEqual(len(self.policy.table), 100)
-        self.assertFalse(any(load.sent for load in self.policy.beliefs.loads.values()))
-        self.assertEqual(self.policy.unfinished, 0)
+        self.assertFalse(
+            any(load.sent for load in self.policy.server_states.loads.values())
+        )
+        self.assertEqual(self.policy.awaiting_first_token, 0)
 
     def test_weights_survive_a_long_life(self):
         for day in range(40):
@@ -257,7 +261,7 @@
     @settings(max_examples=50, deadline=None, derandomize=True)
     @given(st.data())
     def test_any_order_of_messages_leaves_only_true_beliefs(self, data):
-        policy = create_placement(known_blocks=64)
+        policy = create_placement(max_blocks=64)
         truth = {}
         reported = set()
         kinds = st.sampled_from(["restart", "event", "load", "forget", "serve"])
@@ -294,11 +298,15 @@
 
 
 def believed(policy, name):
-    bit = policy.beliefs.loads[name].bit if name in policy.beliefs.loads else 0
+    mask = (
+        policy.server_states.loads[name].mask
+        if name in policy.server_states.loads
+        else 0
+    )
     return {
         block
         for block in CHAIN
-        if (known := policy.table.find(block)) and known.holders & bit
+        if (state := policy.table.find(block)) and state.server_mask & mask
     }
 
 
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -23,7 +23,7 @@
 SPAN_S = 40.0
 ROUNDING = 1e-6
 LIMIT = Limit(10_000.0, 20_000.0)
-LOAN_S = _share.LOAN_S
+LOAN_S = _share.LOAN_TTL_S
 LOAN_MARGIN_S = _share.LOAN_MARGIN_S
 WEIGHTS = (50, 25, 10, 5, 5, 3, 2)
 
@@ -114,7 +114,7 @@
     def setUp(self):
         self.owner = RateShares("entry-1", 1, 0.0)
         self.owner.configure({CUSTOMER: LIMIT}, 0.0)
-        self.owner.found(Ledger(1, (Holder("entry-1", 1),)), 0.0)
+        self.owner.apply_first_ledger(Ledger(1, (Holder("entry-1", 1),)), 0.0)
         self.borrower = RateShares("entry-2", 1, 0.0)
         self.borrower.configure({CUSTOMER: LIMIT}, 0.0)
         self.borrower.apply_ledger(self.owner.ledger, 0.0)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -342,7 +342,7 @@
                 if decision is not RetryDecision.RETRY:
                     break
                 retries += 1
-            allowed = budget.share * first_tries + budget.floor_per_s * (now + 1.0)
+            allowed = budget.fraction * first_tries + budget.floor_per_s * (now + 1.0)
             self.assertLessEqual(retries, allowed + 1e-6)
 
     def test_a_new_instance_outlives_the_crash_of_a_full_server(self):
@@ -352,7 +352,7 @@
         self.assertIs(decisions[32], RetryDecision.BUDGET_USED_UP)
 
     def test_a_budget_used_up_refuses_at_once(self):
-        budget = RetryBudget(now=0.0, share=0.0, floor_per_s=1.0, reserve=1.0)
+        budget = RetryBudget(now=0.0, fraction=0.0, floor_per_s=1.0, reserve=1.0)
         self.assertIs(budget.decide(self.request(), 0.0), RetryDecision.RETRY)
         late = budget.decide(self.request(), 0.5)
         self.assertIs(late, RetryDecision.BUDGET_USED_UP)
