--- a/tests/claim_schedule.py
+++ b/tests/claim_schedule.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of claims: calls that are lost or late, and deaths."""
+"""A seeded schedule of claims with lost and late calls and crashes."""
 
 import random
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 @dataclass
 class Call:
-    """A call under way; `result` is set once the service has performed it."""
+    """A call in progress; `result` is set once the service has performed it."""
 
     step: object
     result: tuple | None = None
@@ -32,9 +32,9 @@
 
 @dataclass
 class Instance:
-    """One instance's book, its call under way, and the claims it was granted."""
+    """One instance's shard claims, its call in progress, and its granted claims."""
 
-    book: ShardClaims
+    claims: ShardClaims
     incarnation: int
     call: Call | None = None
     granted: list = field(default_factory=list)
@@ -42,7 +42,7 @@
 
 
 class Schedule:
-    """Several instances over one shard, with events in a seeded order."""
+    """Several instances that share one shard, with events in a seeded order."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -58,21 +58,21 @@
         self.now = 0.0
         self.started = dict.fromkeys(KEYS, 0)
         self.finished = set()
-        self.died_with = set()
+        self.keys_with_lost_claims = set()
         self.instances = {name: self.new_instance(name, 1) for name in INSTANCES}
 
     def new_instance(self, name, incarnation):
-        # Every ended claim is sealed at once.
-        book = ShardClaims("00", name, incarnation, seal_bytes=100)
-        return Instance(book, incarnation)
+        # The threshold is so low that each ended claim is sealed at once.
+        claims = ShardClaims("00", name, incarnation, seal_bytes=100)
+        return Instance(claims, incarnation)
 
     def run(self):
         actions = (
             [self.submit] * 4
             + [self.begin_call] * 8
             + [self.perform] * 8
-            + [self.answer] * 8
-            + [self.lose_answer] * 2
+            + [self.receive_response] * 8
+            + [self.lose_response] * 2
             + [self.perform_late] * 2
             + [self.fail_call, self.abandon, self.crash]
             + [self.forward] * 3
@@ -87,29 +87,29 @@
 
     def submit(self, name, instance, key=None):
         record = self.new_record(name, instance, key)
-        settled = instance.book.submit(record, self.now)
-        if settled is not None:
-            self.take(instance, [settled])
+        resolved = instance.claims.submit(record, self.now)
+        if resolved is not None:
+            self.receive_answers(instance, [resolved])
 
     def forward(self, name, instance):
-        """Claim through another instance, whose answer may be lost."""
+        """Claim through another instance, whose reply may be lost."""
         record = self.new_record(name, instance)
         self.forwarded[record.nonce] = (instance, record)
-        home = self.instances[self.rng.choice(INSTANCES)]
-        if home is not instance:
+        writer = self.instances[self.rng.choice(INSTANCES)]
+        if writer is not instance:
             for _ in range(self.rng.choice([1, 1, 2])):
-                settled = home.book.submit(record, self.now)
-                if settled is not None:
-                    self.take(home, [settled])
+                resolved = writer.claims.submit(record, self.now)
+                if resolved is not None:
+                    self.receive_answers(writer, [resolved])
 
     def fall_back(self, name, instance):
-        """Claim without the other instance, whose answer then comes late."""
-        mine = [n for n, (by, _) in self.forwarded.items() if by is instance]
-        if mine:
-            _, record = self.forwarded.pop(mine[0])
-            settled = instance.book.submit(record, self.now, forwarded=True)
-            if settled is not None:
-                self.take(instance, [settled])
+        """Claim directly after a forwarded claim, whose reply then arrives late."""
+        own_nonces = [n for n, (by, _) in self.forwarded.items() if by is instance]
+        if own_nonces:
+            _, record = self.forwarded.pop(own_nonces[0])
+            resolved = instance.claims.submit(record, self.now, forwarded=True)
+            if resolved is not None:
+                self.receive_answers(instance, [resolved])
 
     def new_record(self, name, instance, key=None):
         self.nonces += 1
@@ -128,7 +128,7 @@
 
     def begin_call(self, name, instance):
         if instance.call is None:
-            step = instance.book.next_step(self.now)
+            step = instance.claims.next_step(self.now)
             if step is not None:
                 instance.call = Call(step)
 
@@ -154,31 +154,33 @@
             case ReadShard():
                 call.result = (False, self.state, self.version)
 
-    def answer(self, name, instance):
+    def receive_response(self, name, instance):
         if instance.call is None or instance.call.result is None:
             return
         call, instance.call = instance.call, None
-        book = instance.book
+        claims = instance.claims
         if isinstance(call.step, WriteSegment):
-            book.on_segment_written()
+            claims.on_segment_written()
         elif isinstance(call.step, ReadSegment):
-            self.take(instance, book.on_segment_read(*call.result))
+            self.receive_answers(instance, claims.on_segment_read(*call.result))
         else:
             swapped, state, version = call.result
             if swapped:
-                self.take(instance, book.on_shard_written(version))
+                self.receive_answers(instance, claims.on_shard_written(version))
             else:
-                self.take(instance, book.on_shard_read(state, version, self.now))
+                self.receive_answers(
+                    instance, claims.on_shard_read(state, version, self.now)
+                )
 
-    def lose_answer(self, name, instance):
-        """Lose an answer; a call not yet performed may still take effect."""
+    def lose_response(self, name, instance):
+        """Lose a response; a call not yet performed may still take effect."""
         call = instance.call
         if call is None or isinstance(call.step, ReadShard | ReadSegment):
             return
         if call.result is None:
             self.late_calls.append(call)
         instance.call = None
-        instance.book.on_unknown_outcome()
+        instance.claims.on_unknown_outcome()
 
     def perform_late(self, name, instance):
         if self.late_calls:
@@ -187,19 +189,19 @@
     def fail_call(self, name, instance):
         if instance.call is not None and instance.call.result is None:
             instance.call = None
-            instance.book.on_not_written()
-            self.take(instance, instance.book.refuse_all(1.0))
+            instance.claims.on_not_written()
+            self.receive_answers(instance, instance.claims.refuse_all(1.0))
 
     def abandon(self, name, instance):
-        if instance.book.pending:
-            instance.book.abandon(next(iter(instance.book.pending)))
+        if instance.claims.pending:
+            instance.claims.abandon(next(iter(instance.claims.pending)))
 
     def crash(self, name, instance):
         if self.rng.random() < 0.8:
             return
         if instance.call is not None and instance.call.result is None:
             self.late_calls.append(instance.call)
-        self.died_with.update(KEYS)
+        self.keys_with_lost_claims.update(KEYS)
         self.instances[name] = self.new_instance(name, instance.incarnation + 1)
 
     def start(self, name, instance):
@@ -211,23 +213,25 @@
     def end(self, name, instance):
         if instance.started:
             claim = instance.started.pop(0)
-            ran = self.rng.random() < 0.5
-            if ran:
+            has_run = self.rng.random() < 0.5
+            if has_run:
                 self.finished.add(claim.record.key)
-            self.record(instance, claim, Verdict.RAN if ran else Verdict.MAY_HAVE_RUN)
+            self.record(
+                instance, claim, Verdict.RAN if has_run else Verdict.MAY_HAVE_RUN
+            )
         elif instance.granted:
             self.record(instance, instance.granted.pop(0), Verdict.NOT_RUN)
 
     def record(self, instance, claim, verdict):
         record = ended_record(claim, verdict, 200, "text/plain", b"done", self.now)
-        instance.book.record_outcome(record)
+        instance.claims.record_outcome(record)
 
-    def take(self, instance, settled):
-        for item in settled:
+    def receive_answers(self, instance, resolved):
+        for item in resolved:
             answer = item.answer
             origin = self.origins[item.nonce]
             elsewhere = origin is not instance
-            if elsewhere and not self.take_forwarded(origin, item):
+            if elsewhere and not self.receive_forwarded_answer(origin, item):
                 continue
             if isinstance(answer, Claim):
                 origin.granted.append(answer)
@@ -238,35 +242,35 @@
             elif answer.reason is not RefusalReason.CLAIMS_UNAVAILABLE:
                 assert answer.verdict is Verdict.MAY_HAVE_RUN, answer
 
-    def take_forwarded(self, origin, item):
-        """Return whether an answer from elsewhere came and was waited for."""
+    def receive_forwarded_answer(self, origin, item):
+        """Return whether the reply to a forwarded claim arrived and was awaited."""
         if origin not in self.instances.values():
             return False
         if self.rng.random() < 0.2:
-            self.died_with.add(self.keys[item.nonce])
+            self.keys_with_lost_claims.add(self.keys[item.nonce])
             return False
         _, record = self.forwarded.pop(item.nonce, (None, None))
         if record is None:
             if isinstance(item.answer, Claim):
-                origin.book.reject_ownership(item.nonce)
+                origin.claims.reject_ownership(item.nonce)
             return False
         if self.is_unavailable(item.answer):
-            origin.book.release(record)
+            origin.claims.release(record)
         return True
 
     def is_unavailable(self, answer):
         unclaimed = RefusalReason.CLAIMS_UNAVAILABLE
         return isinstance(answer, Refusal) and answer.reason is unclaimed
 
-    def drain(self):
-        """Let every call succeed until nothing waits."""
+    def run_to_completion(self):
+        """Let every call succeed until no claim or outcome is pending."""
         for _ in range(200):
             self.now += 0.001
             for name, instance in self.instances.items():
                 self.fall_back(name, instance)
                 self.begin_call(name, instance)
                 self.perform(name, instance)
-                self.answer(name, instance)
+                self.receive_response(name, instance)
                 while instance.granted:
                     self.record(instance, instance.granted.pop(), Verdict.NOT_RUN)
                 while instance.started:
--- a/tests/schedules.py
+++ b/tests/schedules.py
@@ -1,7 +1,7 @@
-"""The seeds that tests of randomised schedules run on.
+"""The seeds of tests with randomised schedules.
 
-Fixed ones by default, so that every run has the same verdict; `make prove
-SEED=n SCHEDULES=m` runs m fresh ones from any seed.
+The seeds are fixed by default, so that every run has the same result; `make
+prove SEED=n SCHEDULES=m` runs m seeds from n on.
 """
 
 import os
@@ -11,6 +11,6 @@
 
 
 def seeds(count: int) -> range:
-    """Return the seeds to run: the first `count`, or those asked for."""
+    """Return the seeds to run: the first `count`, or those set in the environment."""
     first = int(os.environ.get(SEED_VARIABLE, "0"))
     return range(first, first + int(os.environ.get(COUNT_VARIABLE, count)))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims: at most one run, whatever is lost, late or dies."""
+"""Tests of claims: at most one run despite lost and late calls and crashes."""
 
 import unittest
 
@@ -20,45 +20,45 @@
 class ClaimScheduleTest(unittest.TestCase):
     def test_a_key_never_runs_twice(self):
         sealed = 0
-        run = seeds(SCHEDULES)
-        for seed in run:
+        seeds_to_run = seeds(SCHEDULES)
+        for seed in seeds_to_run:
             with self.subTest(seed=seed):
                 schedule = Schedule(seed)
                 schedule.run()
-                schedule.drain()
+                schedule.run_to_completion()
                 self.assertLessEqual(max(schedule.started.values()), 1)
                 sealed += len(schedule.segments)
-        self.assertGreater(sealed, len(run) // 2)
+        self.assertGreater(sealed, len(seeds_to_run) // 2)
 
-    def test_a_key_that_never_ran_can_be_claimed_in_the_end(self):
-        run = seeds(SCHEDULES)
-        checked = sum(self.check_unrun_keys(seed) for seed in run)
-        self.assertGreater(checked, len(run) // 15)
+    def test_a_key_that_never_ran_can_be_claimed_eventually(self):
+        seeds_to_run = seeds(SCHEDULES)
+        checked = sum(self.check_unrun_keys(seed) for seed in seeds_to_run)
+        self.assertGreater(checked, len(seeds_to_run) // 15)
 
     def test_a_claim_is_not_left_behind_by_a_rare_order_of_events(self):
         self.check_unrun_keys(5925)
 
     def check_unrun_keys(self, seed):
         """Check the keys that never ran; return how many there were."""
-        # An instance that died may leave a claim behind, which must stand.
+        # A claim of an instance that crashed must remain, so its key is skipped.
         schedule = Schedule(seed)
         schedule.run()
-        schedule.drain()
+        schedule.run_to_completion()
         while schedule.late_calls:
             schedule.perform_late(None, None)
-        schedule.drain()
+        schedule.run_to_completion()
         free = {key for key in KEYS if not schedule.started[key]}
-        unrun = sorted(free - schedule.died_with)
+        unrun = sorted(free - schedule.keys_with_lost_claims)
         for key in unrun:
             with self.subTest(seed=seed, key=key):
                 instance = schedule.instances["entry-1"]
                 grants = schedule.grants
                 schedule.submit("entry-1", instance, key)
-                schedule.drain()
+                schedule.run_to_completion()
                 self.assertEqual(schedule.grants, grants + 1)
                 self.assertIsNone(schedule.state.records.get(key))
-                book = instance.book
-                self.assertFalse(book.pending or book.changes or book.active)
+                claims = instance.claims
+                self.assertFalse(claims.pending or claims.changes or claims.active)
         return len(unrun)
 
 
@@ -70,11 +70,11 @@
         self.assertEqual(result.refused, 0)
 
 
-class ShardBookTest(unittest.TestCase):
-    def book(self):
-        book = ShardClaims("00", "entry-1", 2)
-        book.on_shard_read(ShardState(), 0, 0.0)
-        return book
+class ShardClaimsTest(unittest.TestCase):
+    def claims(self):
+        claims = ShardClaims("00", "entry-1", 2)
+        claims.on_shard_read(ShardState(), 0, 0.0)
+        return claims
 
     def record(self, **changes):
         values = {
@@ -88,18 +88,18 @@
         }
         return ClaimRecord(**(values | changes))
 
-    def second_arrival(self, standing, **changes):
-        book = self.book()
+    def repeated_arrival(self, existing, **changes):
+        claims = self.claims()
         own = {"nonce": "n2", "instance": "entry-1", "incarnation": 2}
-        book.submit(self.record(**(own | changes)), 0.0)
-        book.mark_gone("entry-3", 4)
-        (settled,) = book.on_shard_read(
-            ShardState({KEYS[0]: standing}), 1, changes.get("written_at", 0.0)
+        claims.submit(self.record(**(own | changes)), 0.0)
+        claims.mark_gone("entry-3", 4)
+        (resolved,) = claims.on_shard_read(
+            ShardState({KEYS[0]: existing}), 1, changes.get("written_at", 0.0)
         )
-        return settled.answer
+        return resolved.answer
 
-    def test_second_arrival_of_a_running_request(self):
-        answer = self.second_arrival(self.record())
+    def test_repeated_arrival_of_a_running_request(self):
+        answer = self.repeated_arrival(self.record())
         self.assertIs(answer.reason, RefusalReason.IN_PROGRESS)
         self.assertIs(answer.verdict, Verdict.MAY_HAVE_RUN)
 
@@ -109,71 +109,71 @@
             {"instance": "entry-3", "incarnation": 4},
         ]
         for values in dead:
-            answer = self.second_arrival(self.record(**values))
+            answer = self.repeated_arrival(self.record(**values))
             self.assertIs(answer.reason, RefusalReason.OUTCOME_UNKNOWN)
             self.assertIs(answer.verdict, Verdict.MAY_HAVE_RUN)
-        answer = self.second_arrival(self.record(), written_at=700.0)
+        answer = self.repeated_arrival(self.record(), written_at=700.0)
         self.assertIs(answer.reason, RefusalReason.OUTCOME_UNKNOWN)
 
     def test_another_request_under_the_same_key_is_refused(self):
-        answer = self.second_arrival(self.record(), fingerprint="other")
+        answer = self.repeated_arrival(self.record(), fingerprint="other")
         self.assertIs(answer.reason, RefusalReason.KEY_REUSED)
         self.assertIs(answer.verdict, Verdict.NOT_RUN)
 
-    def test_a_full_shard_refuses_rather_than_forgets(self):
-        book = self.book()
+    def test_a_full_shard_refuses_claims_and_keeps_its_records(self):
+        claims = self.claims()
         size = self.record().size
         records = {
             f"k{n}": self.record(key=f"k{n}", nonce=f"m{n}")
             for n in range(800_000 // size + 1)
         }
-        book.submit(self.record(nonce="n2", instance="entry-1"), 100.0)
-        (settled,) = book.on_shard_read(ShardState(records), 1, 100.0)
-        self.assertIs(settled.answer.reason, RefusalReason.CLAIMS_UNAVAILABLE)
-        self.assertAlmostEqual(settled.answer.retry_after_s, 860.0)
-
-    def test_the_first_byte_may_not_leave_late(self):
-        book = self.book()
-        book.submit(self.record(instance="entry-1"), 5.0)
-        book.next_step(0.0)
-        (settled,) = book.on_shard_written(1)
-        self.assertTrue(settled.answer.may_start(65.0))
-        self.assertFalse(settled.answer.may_start(65.1))
+        claims.submit(self.record(nonce="n2", instance="entry-1"), 100.0)
+        (resolved,) = claims.on_shard_read(ShardState(records), 1, 100.0)
+        self.assertIs(resolved.answer.reason, RefusalReason.CLAIMS_UNAVAILABLE)
+        self.assertAlmostEqual(resolved.answer.retry_after_s, 860.0)
+
+    def test_the_first_byte_may_not_be_sent_late(self):
+        claims = self.claims()
+        claims.submit(self.record(instance="entry-1"), 5.0)
+        claims.next_step(0.0)
+        (resolved,) = claims.on_shard_written(1)
+        self.assertTrue(resolved.answer.may_start(65.0))
+        self.assertFalse(resolved.answer.may_start(65.1))
 
     def test_only_its_own_instance_releases_a_claim(self):
-        # The other may have been granted it by the same nonce meanwhile.
-        book = self.book()
-        book.submit(self.record(instance="entry-2"), 0.0)
-        book.next_step(0.0)
-        book.on_unknown_outcome()
-        book.refuse_all(1.0)
-        self.assertFalse(book.changes)
+        # Another instance may have been granted the claim under the same nonce.
+        claims = self.claims()
+        claims.submit(self.record(instance="entry-2"), 0.0)
+        claims.next_step(0.0)
+        claims.on_unknown_outcome()
+        claims.refuse_all(1.0)
+        self.assertFalse(claims.changes)
 
     def test_a_release_never_removes_an_outcome(self):
-        book = self.book()
+        claims = self.claims()
         ended = self.record(
             instance="entry-1", state=ClaimState.ENDED, verdict=Verdict.RAN
         )
-        book.on_shard_read(ShardState({KEYS[0]: ended}), 1, 0.0)
-        book.release(ended)
-        self.assertIn(KEYS[0], book.next_step(0.0).state.records)
+        claims.on_shard_read(ShardState({KEYS[0]: ended}), 1, 0.0)
+        claims.release(ended)
+        self.assertIn(KEYS[0], claims.next_step(0.0).state.records)
 
     def test_a_release_is_followed_by_a_write(self):
-        # It makes a write void that another instance may have under way.
-        book = self.book()
-        book.release(self.record(instance="entry-1"))
-        self.assertIsInstance(book.next_step(0.0), WriteShard)
-        book.on_shard_written(1)
-        self.assertIsNone(book.next_step(0.0))
-
-    def test_a_claim_granted_here_is_not_disowned(self):
-        book = self.book()
+        # The write makes a write fail that another instance may have in progress.
+        claims = self.claims()
+        claims.release(self.record(instance="entry-1"))
+        self.assertIsInstance(claims.next_step(0.0), WriteShard)
+        claims.on_shard_written(1)
+        self.assertIsNone(claims.next_step(0.0))
+
+    def test_a_claim_granted_here_is_not_released_by_a_rejection(self):
+        claims = self.claims()
         record = self.record(instance="entry-1")
-        book.submit(record, 0.0, forwarded=True)
-        book.next_step(0.0)
-        book.on_shard_written(1)
-        book.reject_ownership(record.nonce)
-        self.assertFalse(book.changes)
+        claims.submit(record, 0.0, forwarded=True)
+        claims.next_step(0.0)
+        claims.on_shard_written(1)
+        claims.reject_ownership(record.nonce)
+        self.assertFalse(claims.changes)
 
 
 if __name__ == "__main__":
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Tests of telling departures from silence."""
+"""Tests of the distinction between departed and silent instances."""
 
 import unittest
 
@@ -10,7 +10,7 @@
         self.departures = Departures(list_lag_s=10.0)
         self.departures.record_live("entry-1", 5)
 
-    def test_silence_alone_proves_nothing(self):
+    def test_silence_alone_is_no_departure(self):
         self.departures.record_silence("entry-1")
         for now in (0.0, 50.0, 100.0):
             self.assertEqual(self.departures.record_listing({"entry-1"}, now), ())
@@ -19,26 +19,26 @@
         self.departures.record_silence("entry-1")
         self.assertEqual(self.departures.record_listing(set(), 0.0), ())
         self.assertEqual(self.departures.record_listing(set(), 9.0), ())
-        gone = (Departure("entry-1", 5),)
-        self.assertEqual(self.departures.record_listing(set(), 11.0), gone)
+        departed = (Departure("entry-1", 5),)
+        self.assertEqual(self.departures.record_listing(set(), 11.0), departed)
         self.assertEqual(self.departures.record_listing(set(), 12.0), ())
 
-    def test_a_return_to_the_list_starts_the_lag_anew(self):
+    def test_a_return_to_the_list_restarts_the_lag(self):
         self.departures.record_silence("entry-1")
         self.departures.record_listing(set(), 0.0)
         self.departures.record_listing({"entry-1"}, 9.0)
         self.assertEqual(self.departures.record_listing(set(), 11.0), ())
 
-    def test_an_instance_that_is_heard_is_not_gone(self):
+    def test_a_live_instance_has_not_departed(self):
         self.assertEqual(self.departures.record_listing(set(), 0.0), ())
         self.assertEqual(self.departures.record_listing(set(), 99.0), ())
 
-    def test_a_goodbye_is_told_once(self):
-        gone = (Departure("entry-1", 5),)
-        self.assertEqual(self.departures.record_leave("entry-1", 5), gone)
+    def test_a_leave_is_reported_once(self):
+        departed = (Departure("entry-1", 5),)
+        self.assertEqual(self.departures.record_leave("entry-1", 5), departed)
         self.assertEqual(self.departures.record_leave("entry-1", 5), ())
 
-    def test_word_of_an_older_incarnation_brings_nothing_back(self):
+    def test_a_message_of_an_older_incarnation_changes_nothing(self):
         self.departures.record_live("entry-1", 6)
         self.assertEqual(self.departures.record_live("entry-1", 5), ())
         self.assertEqual(self.departures.newest["entry-1"], 6)
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the fair queue: order, shares, deadlines, refusals."""
+"""Tests of the fair queue: order, fair shares, deadlines and refusals."""
 
 import unittest
 from collections import Counter
@@ -40,7 +40,7 @@
         return taken
 
     def drain(self, rate, until, step=0.1):
-        """Dispatch at a rate in tokens a second, as full servers would."""
+        """Dispatch at a rate in tokens a second, like servers at capacity."""
         now, budget = 0.0, 0.0
         while now < until:
             self.queue.take(now, never)
@@ -75,7 +75,7 @@
                 break
         self.assertAlmostEqual(last, MAX_SKIPPED_S["batch"], delta=0.2)
 
-    def test_blocked_request_does_not_hold_up_other_customers(self):
+    def test_blocked_request_does_not_block_other_customers(self):
         self.offer(ticket("blocked", "a"), ticket("free", "b"))
         taken = self.take_all(may_dispatch=lambda t: t.customer == "b")
         self.assertEqual([ticket.request_id for ticket in taken], ["free"])
@@ -84,15 +84,15 @@
     def test_request_that_cannot_meet_its_deadline_is_refused_at_once(self):
         self.offer(*(ticket(n, tokens=1000) for n in range(100)))
         now = self.drain(rate=10_000, until=3.0)
-        hopeless, hopeful = self.offer(
+        refusal, accepted = self.offer(
             ticket("late", deadline=now + 2.0),
             ticket("in time", deadline=now + 60.0),
             now=now,
         )
-        self.assertIs(hopeless.reason, RefusalReason.DEADLINE)
-        self.assertIs(hopeless.verdict, Verdict.NOT_RUN)
-        self.assertAlmostEqual(hopeless.retry_after_s, 7.0, delta=1.0)
-        self.assertIsNone(hopeful)
+        self.assertIs(refusal.reason, RefusalReason.DEADLINE)
+        self.assertIs(refusal.verdict, Verdict.NOT_RUN)
+        self.assertAlmostEqual(refusal.retry_after_s, 7.0, delta=1.0)
+        self.assertIsNone(accepted)
 
     def test_empty_queue_refuses_nothing_after_a_slow_time(self):
         self.offer(*(ticket(n) for n in range(20)))
@@ -117,18 +117,18 @@
         self.assertEqual([t.request_id for t in self.queue.expire(1.1)], ["old"])
         self.assertEqual(self.queue.expire(1.2), ())
 
-    def test_wrong_use_is_an_error(self):
+    def test_invalid_tickets_raise_value_error(self):
         self.offer(ticket("x"))
         with self.assertRaises(ValueError):
             self.offer(ticket("x"))
         with self.assertRaises(ValueError):
             self.offer(ticket("y", service_class="urgent"))
 
-    def test_customer_at_five_times_its_rate_does_not_hurt_another(self):
+    def test_customer_at_five_times_its_rate_does_not_delay_another(self):
         waits = []
         now, number, budget = 0.0, 0, 0.0
         offered = {}
-        # 2,000 tokens a second for each of two; one of them sends 5,000 more.
+        # Each customer's share is 2,000 tokens a second; "greedy" offers 10,000.
         while now < 60.0:
             for customer, every in (("greedy", 1), ("modest", 5)):
                 if number % every == 0:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,12 +9,12 @@
 from tests.virtual_fleet import Faults, VirtualFleet
 
 SEEDS = seeds(20)
-BAD_NETWORK = Faults(loss=0.1, doubling=0.1, min_delay_s=0.001, max_delay_s=0.3)
+BAD_NETWORK = Faults(loss=0.1, duplication=0.1, min_delay_s=0.001, max_delay_s=0.3)
 SLOW_NETWORK = Faults(min_delay_s=0.1, max_delay_s=0.15)
 
 
-def started(seed, count, faults=None):
-    """Return a fleet whose instances know one another."""
+def start_fleet(seed, count, faults=None):
+    """Start a fleet and return it once all instances know each other."""
     fleet = VirtualFleet(seed, faults)
     for number in range(count):
         fleet.start(f"entry-{number}", ["entry-0", "entry-1"])
@@ -23,7 +23,7 @@
 
 
 def pause_while_probing(fleet, name):
-    """Pause an instance that waits for an answer to its probe."""
+    """Pause an instance while it waits for a reply to its probe."""
     probes = fleet.nodes[name].membership.probes
     while probes.current is None:
         fleet.run(0.0005)
@@ -38,7 +38,7 @@
         def run(self):
             for seed in SEEDS:
                 with self.subTest(seed=seed):
-                    test(self, started(seed, count, faults))
+                    test(self, start_fleet(seed, count, faults))
 
         return run
 
@@ -52,7 +52,7 @@
         fleet.run_until(fleet.agreed, 20)
 
     @on_fleets(faults=BAD_NETWORK)
-    def test_lost_doubled_and_late_messages_make_nobody_dead(self, fleet):
+    def test_lost_duplicated_and_late_messages_declare_nobody_dead(self, fleet):
         before = len(fleet.changes)
         fleet.run(300)
         dead = [
@@ -64,7 +64,7 @@
         self.assertTrue(fleet.agreed())
 
     def test_an_instance_that_starts_last_is_found_within_two_periods(self):
-        # It knows no address; the others tried its own before it was bound.
+        # It has no seeds; the others have pinged its address before it was bound.
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 fleet = VirtualFleet(seed)
@@ -77,40 +77,41 @@
                 self.assertEqual(len(fleet.view("entry-1")), 3)
 
     @on_fleets()
-    def test_a_paused_instance_blames_nobody_and_comes_back(self, fleet):
+    def test_a_paused_instance_suspects_nobody_and_rejoins(self, fleet):
         pause_while_probing(fleet, "entry-2")
         fleet.run(60)
         self.assertNotIn("entry-2", fleet.view("entry-0"))
         before = len(fleet.changes)
-        fleet.wake("entry-2")
+        fleet.resume("entry-2")
         fleet.run_until(fleet.agreed, 10)
         for _, name, update in fleet.changes[before:]:
             if name == "entry-2":
                 self.assertIs(update.state, MemberState.ALIVE)
-        for name in fleet.up() - {"entry-2"}:
-            self.assertEqual(fleet.lost(name), [])
+        for name in fleet.running() - {"entry-2"}:
+            self.assertEqual(fleet.deaths_of(name), [])
 
     @on_fleets(faults=SLOW_NETWORK)
-    def test_messages_that_waited_out_a_pause_are_no_word_from_peers(self, fleet):
+    def test_messages_buffered_during_a_pause_are_no_contact_with_peers(self, fleet):
         pause_while_probing(fleet, "entry-2")
         paused_at = fleet.now
         fleet.run(60)
-        fleet.wake("entry-2")
-        self.assertLessEqual(fleet.nodes["entry-2"].word_at, paused_at)
+        fleet.resume("entry-2")
+        self.assertLessEqual(fleet.nodes["entry-2"].last_contact_at, paused_at)
         fleet.run(3)
-        self.assertGreater(fleet.nodes["entry-2"].word_at, fleet.now - 3)
+        self.assertGreater(fleet.nodes["entry-2"].last_contact_at, fleet.now - 3)
 
     @on_fleets()
-    def test_a_restarted_instance_replaces_its_former_self(self, fleet):
+    def test_a_restarted_instance_replaces_its_earlier_incarnation(self, fleet):
         fleet.kill("entry-4")
         fleet.start("entry-4", ["entry-0"], incarnation=2)
-        rest = fleet.up() - {"entry-4"}
+        others = fleet.running() - {"entry-4"}
 
-        def known(name):
+        def update_about(name):
             return fleet.nodes[name].membership.table.get("entry-4")
 
         fleet.run_until(
-            lambda: all(known(name).member.incarnation == 2 for name in rest), 10
+            lambda: all(update_about(name).member.incarnation == 2 for name in others),
+            10,
         )
         fleet.run_until(fleet.agreed, 10)
 
@@ -122,36 +123,36 @@
         fleet.run_until(fleet.agreed, 15)
 
     @on_fleets()
-    def test_a_cut_heals(self, fleet):
-        left = {"entry-0", "entry-1", "entry-2"}
+    def test_a_partition_heals(self, fleet):
+        one_side = {"entry-0", "entry-1", "entry-2"}
         for node in fleet.nodes.values():
             node.membership.seeds = ()
-        fleet.cut = lambda a, b: (a in left) != (b in left)
+        fleet.is_cut = lambda a, b: (a in one_side) != (b in one_side)
         fleet.run(120)
-        self.assertEqual(fleet.view("entry-0"), left)
-        fleet.cut = lambda a, b: False
+        self.assertEqual(fleet.view("entry-0"), one_side)
+        fleet.is_cut = lambda a, b: False
         fleet.run_until(fleet.agreed, 30)
 
     @on_fleets()
     def test_an_instance_that_one_peer_cannot_reach_stays_a_member(self, fleet):
-        fleet.cut = lambda a, b: {a, b} == {"entry-1", "entry-2"}
+        fleet.is_cut = lambda a, b: {a, b} == {"entry-1", "entry-2"}
         before = len(fleet.changes)
         fleet.run(120)
         dead = [c for c in fleet.changes[before:] if c[2].state is MemberState.DEAD]
         self.assertEqual(dead, [])
 
     @on_fleets()
-    def test_a_goodbye_is_heard_sooner_than_a_death(self, fleet):
-        fleet.do("entry-5", lambda membership, now: membership.leave(now))
+    def test_a_leave_is_noticed_sooner_than_a_death(self, fleet):
+        fleet.perform("entry-5", lambda membership, now: membership.leave(now))
         fleet.run(5)
         self.assertTrue(fleet.agreed())
-        fleet.do("entry-5", lambda membership, now: membership.stop(now))
+        fleet.perform("entry-5", lambda membership, now: membership.stop(now))
         fleet.kill("entry-5")
         fleet.run_until(fleet.agreed, 5)
-        self.assertEqual(fleet.lost("entry-5"), [])
+        self.assertEqual(fleet.deaths_of("entry-5"), [])
 
-    def test_news_reaches_a_large_fleet(self):
-        fleet = started(1, 70)
+    def test_updates_reach_a_large_fleet(self):
+        fleet = start_fleet(1, 70)
         fleet.kill("entry-30")
         fleet.run_until(fleet.agreed, 60)
 
@@ -173,7 +174,7 @@
         ranked = rank_entries(self.members(7), "academy", "dc-1", suspected)
         self.assertEqual({m.instance for m in ranked[-2:]}, suspected)
 
-    def test_an_instance_that_is_not_ready_is_named_only_if_all_are_so(self):
+    def test_an_instance_that_is_not_ready_is_returned_only_if_none_is(self):
         members = [replace(member, ready=False) for member in self.members(3)]
         self.assertEqual(len(rank_entries(members, "academy", "")), 3)
         members[1] = replace(members[1], ready=True)
@@ -185,9 +186,9 @@
         members = self.members(7)
         customers = [f"customer-{n}" for n in range(500)]
         before = {c: rank_entries(members, c, "")[0].instance for c in customers}
-        left = [m for m in members if m.instance != "entry-3"]
+        one_side = [m for m in members if m.instance != "entry-3"]
         for customer in customers:
-            after = rank_entries(left, customer, "")[0].instance
+            after = rank_entries(one_side, customer, "")[0].instance
             if before[customer] != "entry-3":
                 self.assertEqual(after, before[customer])
 
--- a/tests/test_membership_cost.py
+++ b/tests/test_membership_cost.py
@@ -1,4 +1,4 @@
-"""Bounds on what membership costs, where the figures are deterministic."""
+"""Tests of bounds of the membership's cost, in figures that are deterministic."""
 
 import unittest
 
@@ -26,7 +26,7 @@
             self.large.bytes_sent_per_s, self.small.bytes_sent_per_s * 1.5
         )
 
-    def test_nobody_is_taken_for_dead_without_a_fault(self):
+    def test_nobody_is_declared_dead_without_a_fault(self):
         self.assertEqual(self.small.false_deaths + self.large.false_deaths, 0)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of who orders loads of weights, on seeded schedules of failures."""
+"""Tests of the orders to load weights, on seeded schedules of failures."""
 
 import random
 import unittest
@@ -21,44 +21,44 @@
 CHANGE_EVERY_S = 2.5
 CHANGES_END_S = 50.0
 LAST_VERSION = "v30"
-CALM_AT_S = 60.0
+FAULTS_END_S = 60.0
 END_S = 90.0
 
 
 @dataclass
 class Engine:
-    """Applies orders, those in flight late and out of order."""
+    """An engine that executes orders, also late ones and out of order."""
 
     checks_fencing: bool
     load_s: float
     version: str = "v01"
-    highest: int = 0
+    highest_fencing: int = 0
     seen: set = field(default_factory=set)
     loading: dict = field(default_factory=dict)
-    taken: list = field(default_factory=list)
+    accepted: list = field(default_factory=list)
 
-    def take(self, load, now):
+    def receive(self, load, now):
         if self.checks_fencing and load.order_id in self.seen:
             return
-        # One that ignores fencing numbers keeps no identifiers either.
+        # An engine that ignores fencing numbers stores no identifiers either.
         if load.version in (self.version, *(v for _, v in self.loading.values())):
             return
-        if self.checks_fencing and load.fencing < self.highest:
+        if self.checks_fencing and load.fencing < self.highest_fencing:
             return
-        self.highest = max(self.highest, load.fencing)
+        self.highest_fencing = max(self.highest_fencing, load.fencing)
         self.seen.add(load.order_id)
-        self.taken.append((load.order_id, load.version))
+        self.accepted.append((load.order_id, load.version))
         self.loading[load.order_id] = (now + self.load_s, load.version)
 
     def advance(self, now):
-        for order_id, (at, version) in tuple(self.loading.items()):
-            if at <= now:
+        for order_id, (ready_at, version) in tuple(self.loading.items()):
+            if ready_at <= now:
                 self.version = version
                 del self.loading[order_id]
 
 
 class Schedule:
-    """Three orderers before a few engines, paused, cut and answered late."""
+    """Three orderers and a few engines, with pauses and lost or late messages."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -67,73 +67,73 @@
         self.engines = {f"engine-{n}": Engine(n == 0, load_s) for n in range(count)}
         self.names = ("entry-0", "entry-1", "entry-2")
         self.orderers = {n: Orderer(n, f"{n}/1", LIMITS) for n in self.names}
-        self.paused = dict.fromkeys(self.names, 0.0)
-        self.read = {}
+        self.paused_until = dict.fromkeys(self.names, 0.0)
+        self.read_versions = {}
         self.table, self.version = LoadTable(), 0
-        self.pending, self.flights = {}, []
+        self.decided, self.in_flight = {}, []
         self.faults = []
 
     def run(self):
         now = 0.0
         while now < END_S:
-            wanted = f"v{int(min(now, CHANGES_END_S) / CHANGE_EVERY_S) + 10}"
+            version = f"v{int(min(now, CHANGES_END_S) / CHANGE_EVERY_S) + 10}"
             for name in self.names:
-                if self.paused[name] <= now:
-                    self.turn(name, wanted, now)
-            self.land(now)
+                if self.paused_until[name] <= now:
+                    self.run_instance(name, version, now)
+            self.deliver(now)
             self.check(now)
             now += STEP_S
         self.versions = {engine.version for engine in self.engines.values()}
 
-    def turn(self, name, wanted, now):
-        calm = now >= CALM_AT_S
+    def run_instance(self, name, version, now):
+        faults_over = now >= FAULTS_END_S
         orderer = self.orderers[name]
-        # A pause strikes between a decision and its effect as well: what was
-        # decided before it is done only now, after a look at the clock.
-        for load in self.pending.pop(name, ()):
-            self.send(orderer, load, now, calm)
-        wants = [
-            DesiredVersion(server, MODEL, wanted, engine.checks_fencing)
+        # A pause may fall between a decision and its effect: orders that were
+        # decided before the pause are sent now, if the time still allows it.
+        for load in self.decided.pop(name, ()):
+            self.send(orderer, load, now, faults_over)
+        targets = [
+            DesiredVersion(server, MODEL, version, engine.checks_fencing)
             for server, engine in self.engines.items()
         ]
-        orderer.configure(wants, now)
+        orderer.configure(targets, now)
         for server, engine in self.engines.items():
             orderer.record_report(server, {MODEL: engine.version}, now)
         orderer.apply_table(self.table, now)
-        self.read[name] = self.version
-        live = [n for n in self.names if calm or self.rng.random() < 0.9]
+        self.read_versions[name] = self.version
+        live = [n for n in self.names if faults_over or self.rng.random() < 0.9]
         for action in orderer.step(live, now):
             if isinstance(action, SendOrder):
-                self.pending.setdefault(name, []).append(action.load)
+                self.decided.setdefault(name, []).append(action.load)
             elif isinstance(action, WriteTable):
-                self.swap(name, action.table, now, calm)
-        likely = 0.3 if name in self.pending else 0.03
-        if not calm and self.rng.random() < likely:
-            self.paused[name] = now + self.rng.choice((0.5, 4.0, 12.0))
-
-    def swap(self, name, table, now, calm):
-        # Another instance may come between the read and the write.
-        if self.read[name] != self.version or self.rng.random() < 0.1:
+                self.swap(name, action.table, now, faults_over)
+        pause_probability = 0.3 if name in self.decided else 0.03
+        if not faults_over and self.rng.random() < pause_probability:
+            self.paused_until[name] = now + self.rng.choice((0.5, 4.0, 12.0))
+
+    def swap(self, name, table, now, faults_over):
+        # Another instance may write between the read and the write.
+        if self.read_versions[name] != self.version or self.rng.random() < 0.1:
             return
         self.table, self.version = table, self.version + 1
-        lost = not calm and self.rng.random() < 0.3
+        lost = not faults_over and self.rng.random() < 0.3
         if not lost:
             self.orderers[name].apply_table(table, now)
 
-    def send(self, orderer, load, now, calm):
+    def send(self, orderer, load, now, faults_over):
         if not orderer.may_send(load, now):
             return
         orderer.record_order_sent(load, now)
-        flight = 0.0 if calm else self.rng.choice((0.0, 0.5, 1.9))
-        self.flights.append((now + flight, load))
-        if calm or (flight == 0.0 and self.rng.random() < 0.6):
+        delay_s = 0.0 if faults_over else self.rng.choice((0.0, 0.5, 1.9))
+        self.in_flight.append((now + delay_s, load))
+        if faults_over or (delay_s == 0.0 and self.rng.random() < 0.6):
             orderer.record_order_reply(load, True)
 
-    def land(self, now):
-        due = [flight for flight in self.flights if flight[0] <= now]
-        self.flights = [flight for flight in self.flights if flight[0] > now]
+    def deliver(self, now):
+        due = [item for item in self.in_flight if item[0] <= now]
+        self.in_flight = [item for item in self.in_flight if item[0] > now]
         for _, load in due:
-            self.engines[load.server].take(load, now)
+            self.engines[load.server].receive(load, now)
         for engine in self.engines.values():
             engine.advance(now)
 
@@ -144,16 +144,16 @@
         if all(engine.loading for engine in self.engines.values()):
             self.faults.append(f"{now:.1f}: no engine serves")
         for name, engine in self.engines.items():
-            taken = [version for _, version in engine.taken]
-            if taken != sorted(taken):
-                self.faults.append(f"{now:.1f}: {name} took {taken}")
+            accepted = [version for _, version in engine.accepted]
+            if accepted != sorted(accepted):
+                self.faults.append(f"{now:.1f}: {name} accepted {accepted}")
 
 
 class OrdererTest(unittest.TestCase):
     def orderer(self, name="entry-0", limits=LIMITS):
         return Orderer(name, f"{name}/1", limits)
 
-    def test_schedules_of_pauses_and_lost_answers(self):
+    def test_schedules_of_pauses_and_lost_replies(self):
         for seed in seeds(30):
             with self.subTest(seed=seed):
                 schedule = Schedule(seed)
@@ -174,23 +174,23 @@
         steps = [a for a in orderer.step(["entry-0"], 5.0) if type(a) is WriteTable]
         self.assertEqual(steps, [])
 
-    def test_a_holder_that_wakes_after_its_lease_sends_nothing(self):
+    def test_a_holder_that_resumes_after_its_lease_sends_nothing(self):
         orderer = self.orderer()
         orderer.configure([DesiredVersion("a", MODEL, "v2")], 0.0)
         orderer.record_report("a", {}, 5.0)
         (write,) = orderer.step(["entry-0"], 5.0)
         orderer.apply_table(write.table, 5.0)
-        (give,) = orderer.step(["entry-0"], 5.0)
-        self.assertTrue(orderer.may_send(give.load, 7.9))
-        self.assertFalse(orderer.may_send(give.load, 8.0))
+        (send,) = orderer.step(["entry-0"], 5.0)
+        self.assertTrue(orderer.may_send(send.load, 7.9))
+        self.assertFalse(orderer.may_send(send.load, 8.0))
 
-    def test_another_order_waits_for_the_flight_of_an_inherited_one(self):
+    def test_another_order_waits_until_an_inherited_one_has_arrived(self):
         load = Load("a", MODEL, "v2", "load-1", "entry-9/1", "entry-9/1/1", 1)
-        for checks_fencing, over in ((True, True), (False, False)):
+        for checks_fencing, is_dropped in ((True, True), (False, False)):
             with self.subTest(checks_fencing=checks_fencing):
                 orderer = self.orderer()
-                want = DesiredVersion("a", MODEL, "v3", checks_fencing)
-                orderer.configure([want], 0.0)
+                target = DesiredVersion("a", MODEL, "v3", checks_fencing)
+                orderer.configure([target], 0.0)
                 orderer.apply_table(LoadTable(1, (load,)), 5.0)
                 (write,) = orderer.step(["entry-0"], 5.0)
                 self.assertEqual(write.table.loads[0].order_id, "load-1")
@@ -198,7 +198,7 @@
                 orderer.apply_table(write.table, 5.0)
                 orderer.record_report("a", {MODEL: "v2"}, 6.0)
                 written = [a.table for a in orderer.step(["entry-0"], 6.0)]
-                self.assertEqual(written == [LoadTable(2)], over)
+                self.assertEqual(written == [LoadTable(2)], is_dropped)
                 (write,) = orderer.step(["entry-0"], 10.5)
                 orderer.apply_table(write.table, 10.5)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: homes, beliefs and their end, bounds."""
+"""Tests of placement: homes, estimated caches and queues, and bounded memory."""
 
 import random
 import unittest
@@ -58,7 +58,7 @@
         home = self.place(request()).server
         return next(name for name in NAMES if name != home)
 
-    def test_fresh_instances_agree_without_talking(self):
+    def test_new_instances_agree_without_communication(self):
         for count in (10, 100):
             names = [f"engine-{number}" for number in range(count)]
             chosen = {
@@ -72,9 +72,9 @@
     def test_server_that_leaves_moves_only_its_own_prefixes(self):
         chains = [(number * 7919 + 1,) for number in range(50)]
         before = {chain: self.place(request(chain=chain)).server for chain in chains}
-        rest = views(NAMES[1:])
+        remaining = views(NAMES[1:])
         for chain in chains:
-            after = self.place(request(chain=chain), rest).server
+            after = self.place(request(chain=chain), remaining).server
             if before[chain] != NAMES[0]:
                 self.assertEqual(after, before[chain])
 
@@ -92,7 +92,7 @@
         self.assertIsNone(self.place(request(), many))
         self.assertEqual(self.place(request(), [*many, *servers[3:]]).server, "free")
 
-    def test_server_that_others_filled_takes_no_more(self):
+    def test_server_filled_by_others_gets_no_requests(self):
         for name in NAMES:
             self.policy.observe_load(name, load(f"{name}#1", running=20), 1.0)
         self.assertIsNone(self.place(request(), now=1.5))
@@ -120,7 +120,7 @@
             names = [f"engine-{number}" for number in range(count)]
             self.assertIsNotNone(self.place(request(chain=()), views(names)))
 
-    def test_a_prompt_that_a_peer_sent_counts_until_a_report_holds_it(self):
+    def test_a_prompt_that_a_peer_sent_counts_until_a_report_includes_it(self):
         home = self.serve(request()).server
         self.policy.observe_load(home, load(f"{home}#1"), 1.0)
         self.policy.record_peer_start(home, 400_000, 1.05)
@@ -128,64 +128,66 @@
         self.policy.observe_load(home, load(f"{home}#1"), 1.5)
         self.assertEqual(self.place(request(1), now=1.5).server, home)
 
-    def test_a_prompt_that_a_peer_sent_is_forgotten_where_no_report_comes(self):
+    def test_a_prompt_that_a_peer_sent_expires_without_a_report(self):
         home = self.serve(request()).server
         self.policy.record_peer_start(home, 400_000, 1.0)
         self.assertNotEqual(self.place(request(1), now=1.1).server, home)
         self.assertEqual(self.place(request(1), now=3.0).server, home)
 
     def test_cache_events_draw_requests_away_from_the_home(self):
-        holder = self.other_than_home()
-        self.policy.observe_events(holder, stored(*CHAIN), 1.0)
+        caching_server = self.other_than_home()
+        self.policy.observe_events(caching_server, stored(*CHAIN), 1.0)
         placement = self.place(request())
-        self.assertEqual(placement.server, holder)
+        self.assertEqual(placement.server, caching_server)
         self.assertEqual(placement.cached_tokens, 1024 * len(CHAIN))
         evicted = stored(*CHAIN, kind=CacheEventKind.EVICTED)
-        self.policy.observe_events(holder, evicted, 2.0)
-        self.assertNotEqual(self.place(request()).server, holder)
+        self.policy.observe_events(caching_server, evicted, 2.0)
+        self.assertNotEqual(self.place(request()).server, caching_server)
 
     def test_lost_event_does_not_hide_the_rest_of_the_prefix(self):
-        holder = self.other_than_home()
-        self.policy.observe_events(holder, stored(CHAIN[0], CHAIN[-1]), 1.0)
-        self.assertEqual(self.place(request()).server, holder)
-
-    def test_new_incarnation_ends_every_belief(self):
-        holder = self.other_than_home()
-        self.policy.observe_events(holder, stored(*CHAIN), 1.0)
-        self.policy.observe_load(holder, load("a#2"), 2.0)
-        self.assertNotEqual(self.place(request()).server, holder)
-
-    def test_late_events_of_a_dead_incarnation_are_not_believed(self):
-        holder = self.other_than_home()
-        self.policy.observe_events(holder, stored(CHAIN[0]), 1.0)
-        self.policy.observe_load(holder, load("a#2"), 2.0)
-        self.policy.observe_events(holder, stored(*CHAIN), 2.5)
-        self.policy.observe_load(holder, load("a#1"), 2.6)
-        self.assertNotEqual(self.place(request()).server, holder)
-        self.policy.observe_events(holder, stored(*CHAIN, incarnation="a#2"), 2.7)
-        self.assertEqual(self.place(request()).server, holder)
-
-    def test_forgotten_server_is_believed_to_hold_nothing(self):
-        holder = self.other_than_home()
-        self.policy.observe_events(holder, stored(*CHAIN), 1.0)
-        self.policy.remove_server(holder)
-        self.policy.observe_events(holder, stored(*CHAIN), 1.5)
-        self.assertNotEqual(self.place(request()).server, holder)
-
-    def test_bit_of_a_forgotten_server_passes_on_no_belief(self):
+        caching_server = self.other_than_home()
+        self.policy.observe_events(caching_server, stored(CHAIN[0], CHAIN[-1]), 1.0)
+        self.assertEqual(self.place(request()).server, caching_server)
+
+    def test_new_incarnation_clears_the_cached_blocks(self):
+        caching_server = self.other_than_home()
+        self.policy.observe_events(caching_server, stored(*CHAIN), 1.0)
+        self.policy.observe_load(caching_server, load("a#2"), 2.0)
+        self.assertNotEqual(self.place(request()).server, caching_server)
+
+    def test_late_events_of_a_dead_incarnation_are_ignored(self):
+        caching_server = self.other_than_home()
+        self.policy.observe_events(caching_server, stored(CHAIN[0]), 1.0)
+        self.policy.observe_load(caching_server, load("a#2"), 2.0)
+        self.policy.observe_events(caching_server, stored(*CHAIN), 2.5)
+        self.policy.observe_load(caching_server, load("a#1"), 2.6)
+        self.assertNotEqual(self.place(request()).server, caching_server)
+        self.policy.observe_events(
+            caching_server, stored(*CHAIN, incarnation="a#2"), 2.7
+        )
+        self.assertEqual(self.place(request()).server, caching_server)
+
+    def test_removed_server_is_assumed_to_cache_nothing(self):
+        caching_server = self.other_than_home()
+        self.policy.observe_events(caching_server, stored(*CHAIN), 1.0)
+        self.policy.remove_server(caching_server)
+        self.policy.observe_events(caching_server, stored(*CHAIN), 1.5)
+        self.assertNotEqual(self.place(request()).server, caching_server)
+
+    def test_mask_of_a_removed_server_carries_over_no_blocks(self):
         self.policy.observe_events("gone", stored(*CHAIN), 1.0)
         self.policy.remove_server("gone")
         self.policy.observe_load("new", load("new#1"), 2.0)
         placement = self.place(request(), views(["new"]))
         self.assertEqual(placement.cached_tokens, 0)
 
-    def test_belief_never_crosses_customer_or_version(self):
+    def test_cached_blocks_are_not_shared_by_customers_or_versions(self):
         self.serve(request())
         for scope in (("other", "chef", "v1"), ("ramen", "chef", "v2")):
             chain = block_chain(cache_scope(*scope), TEXT)
             self.assertEqual(self.place(request(1, chain)).cached_tokens, 0)
 
-    def test_request_that_failed_before_its_first_token_leaves_no_belief(self):
+    def test_request_that_failed_before_its_first_token_caches_nothing(self):
         placement = self.place(request())
         self.policy.record_start(placement, request(), 1.0)
         self.policy.record_end("r0", 1.1)
@@ -252,7 +254,7 @@
         )
         self.assertEqual(self.policy.awaiting_first_token, 0)
 
-    def test_weights_survive_a_long_life(self):
+    def test_weights_stay_finite_over_a_long_time(self):
         for day in range(40):
             self.serve(request(day), day * 86_400.0)
         self.assertLess(self.policy.table.total_weight, float("inf"))
@@ -260,18 +262,18 @@
 
     @settings(max_examples=50, deadline=None, derandomize=True)
     @given(st.data())
-    def test_any_order_of_messages_leaves_only_true_beliefs(self, data):
+    def test_no_order_of_messages_assumes_blocks_that_are_not_cached(self, data):
         policy = create_placement(max_blocks=64)
-        truth = {}
+        actual = {}
         reported = set()
         kinds = st.sampled_from(["restart", "event", "load", "forget", "serve"])
         for step in range(data.draw(st.integers(1, 40))):
             name = data.draw(st.sampled_from(NAMES[:3]))
-            number, held = truth.setdefault(name, (1, set()))
+            number, cached = actual.setdefault(name, (1, set()))
             incarnation, now = f"{name}#{number}", step * 0.1
             kind = data.draw(kinds)
             if kind == "restart":
-                truth[name] = (number + 1, set())
+                actual[name] = (number + 1, set())
                 policy.observe_load(name, load(f"{name}#{number + 1}"), now)
                 reported.add(name)
             elif kind == "event" and name in reported:
@@ -279,25 +281,25 @@
                 block = data.draw(st.sampled_from(CHAIN))
                 policy.observe_events(name, stored(block, incarnation=old), now)
                 if old == incarnation:
-                    held.add(block)
+                    cached.add(block)
             elif kind == "load":
                 policy.observe_load(name, load(incarnation), now)
                 reported.add(name)
             elif kind == "forget":
                 policy.remove_server(name)
                 reported.discard(name)
-                truth[name] = (number + 1, set())
+                actual[name] = (number + 1, set())
             elif kind == "serve":
                 chosen = policy.place(request(step), views(NAMES[:3]), now, self.rng)
                 policy.record_start(chosen, request(step), now)
                 policy.record_first_token(f"r{step}", now)
                 policy.record_end(f"r{step}", now)
-                truth.setdefault(chosen.server, (1, set()))[1].update(CHAIN)
-        for name, (_, held) in truth.items():
-            self.assertLessEqual(believed(policy, name), held)
+                actual.setdefault(chosen.server, (1, set()))[1].update(CHAIN)
+        for name, (_, cached) in actual.items():
+            self.assertLessEqual(assumed_blocks(policy, name), cached)
 
 
-def believed(policy, name):
+def assumed_blocks(policy, name):
     mask = (
         policy.server_states.loads[name].mask
         if name in policy.server_states.loads
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Tests of the spread of configuration, on virtual time with seeded faults."""
+"""Tests of configuration propagation, on virtual time with seeded faults."""
 
 import random
 import unittest
@@ -29,85 +29,89 @@
     return result
 
 
-def policy(seed=1):
+def create_policy(seed=1):
     return RevisionPolicy(STALE_AFTER_S, random.Random(seed))
 
 
 class Fleet:
-    """Instances that learn from a service, from peers, or from both.
+    """Instances that receive revisions from a service, from peers, or from both.
 
-    Each word may be lost, doubled and late, so that words cross.
+    Each message may be lost, duplicated and delayed, so that messages overtake
+    each other.
     """
 
     def __init__(self, seed, count):
         self.rng = random.Random(seed)
         self.now = 0.0
         self.log = []
-        self.policies = [policy(seed + n) for n in range(count)]
-        for one in self.policies:
-            one.record_service_load(0.0)
+        self.policies = [create_policy(seed + n) for n in range(count)]
+        for policy in self.policies:
+            policy.record_service_load(0.0)
         self.cut_from_service = set()
         self.in_flight = []
-        self.seen = [[0] for _ in range(count)]
+        self.revisions_in_force = [[0] for _ in range(count)]
 
     def write(self):
         self.log.append(entry(len(self.log) + 1))
 
     def step(self):
-        """Let a tenth of a second pass."""
+        """Advance the time by a tenth of a second."""
         self.now += 0.1
-        for number, one in enumerate(self.policies):
+        for number, policy in enumerate(self.policies):
             if number not in self.cut_from_service:
-                self.hear_service(one)
-            self.hear_peer(number, one)
-            self.fetch(one)
+                self.poll_service(policy)
+            self.poll_peer(number, policy)
+            self.fetch(policy)
         due = [item for item in self.in_flight if item[0] <= self.now]
         self.in_flight = [item for item in self.in_flight if item[0] > self.now]
         self.rng.shuffle(due)
         for _, number, deliver in due:
             deliver()
-            self.seen[number].append(self.policies[number].current.revision)
+            self.revisions_in_force[number].append(
+                self.policies[number].current.revision
+            )
 
-    def later(self, one, deliver):
+    def deliver_later(self, policy, deliver):
         copies = self.rng.choice([0, 1, 1, 1, 2])
         for _ in range(copies):
             at = self.now + self.rng.uniform(0.0, 1.0)
-            self.in_flight.append((at, self.policies.index(one), deliver))
+            self.in_flight.append((at, self.policies.index(policy), deliver))
 
-    def hear_service(self, one):
-        missing = self.log[one.current.revision :]
+    def poll_service(self, policy):
+        missing = self.log[policy.current.revision :]
         if missing:
-            self.later(one, lambda: one.apply_revision(missing[0]))
+            self.deliver_later(policy, lambda: policy.apply_revision(missing[0]))
         else:
-            one.record_service_contact(self.now)
+            policy.record_service_contact(self.now)
 
-    def hear_peer(self, number, one):
+    def poll_peer(self, number, policy):
         peer = self.rng.randrange(len(self.policies))
         revision, as_of = self.policies[peer].current.revision, self.now
         if peer != number:
-            self.later(
-                one, lambda: one.update_from_peer(str(peer), revision, as_of, self.now)
+            self.deliver_later(
+                policy,
+                lambda: policy.update_from_peer(str(peer), revision, as_of, self.now),
             )
 
-    def fetch(self, one):
-        peer = one.choose_fetch_peer(self.now)
+    def fetch(self, policy):
+        peer = policy.choose_fetch_peer(self.now)
         if peer is None:
             return
         source = self.policies[int(peer)]
-        entries = source.entries_after(one.current.revision)
+        entries = source.entries_after(policy.current.revision)
         snapshot, as_of = source.current, self.now
 
         def deliver():
             for revision in entries or ():
-                one.apply_revision(revision)
+                policy.apply_revision(revision)
             if entries is None:
-                one.apply_snapshot(snapshot)
-            one.record_peer_load(as_of)
+                policy.apply_snapshot(snapshot)
+            policy.record_peer_load(as_of)
 
-        self.later(one, deliver)
+        self.deliver_later(policy, deliver)
 
 
-class SpreadTest(unittest.TestCase):
+class PropagationTest(unittest.TestCase):
     def test_a_change_is_in_force_everywhere_within_5_s_and_never_reverts(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -120,8 +124,8 @@
                     number = len(fleet.log)
                     revisions = {p.current.revision for p in fleet.policies}
                     self.assertEqual(revisions, {number})
-                for seen in fleet.seen:
-                    self.assertEqual(seen, sorted(seen))
+                for revisions_in_force in fleet.revisions_in_force:
+                    self.assertEqual(revisions_in_force, sorted(revisions_in_force))
 
     def test_every_instance_ends_with_the_same_configuration(self):
         for seed in SEEDS:
@@ -132,11 +136,11 @@
             for _ in range(600):
                 fleet.step()
             with self.subTest(seed=seed):
-                for one in fleet.policies:
-                    self.assertEqual(one.current, configuration(100))
+                for policy in fleet.policies:
+                    self.assertEqual(policy.current, configuration(100))
 
     def test_an_instance_far_behind_gets_a_snapshot(self):
-        ahead = policy()
+        ahead = create_policy()
         for number in range(1, 101):
             ahead.apply_revision(entry(number))
         self.assertIsNone(ahead.entries_after(10))
@@ -145,104 +149,104 @@
 
 
 class NeverRevertsTest(unittest.TestCase):
-    def test_older_and_later_entries_are_left_alone(self):
-        one = policy()
+    def test_older_and_later_entries_are_ignored(self):
+        policy = create_policy()
         for number in (1, 2, 2, 1, 4):
-            one.apply_revision(entry(number))
-        self.assertEqual(one.current, configuration(2))
-
-    def test_an_older_snapshot_is_left_alone(self):
-        one = policy()
-        one.apply_snapshot(configuration(5))
-        self.assertIsNone(one.apply_snapshot(configuration(4)))
-        self.assertEqual(one.current.revision, 5)
-
-    def test_a_revision_that_does_not_fit_counts_without_effect(self):
-        one = policy()
-        change = one.apply_revision(entry(1, RemoveCustomer("nobody")))
+            policy.apply_revision(entry(number))
+        self.assertEqual(policy.current, configuration(2))
+
+    def test_an_older_snapshot_is_ignored(self):
+        policy = create_policy()
+        policy.apply_snapshot(configuration(5))
+        self.assertIsNone(policy.apply_snapshot(configuration(4)))
+        self.assertEqual(policy.current.revision, 5)
+
+    def test_a_revision_that_cannot_be_applied_counts_without_effect(self):
+        policy = create_policy()
+        change = policy.apply_revision(entry(1, RemoveCustomer("nobody")))
         self.assertIn("nobody", change.rejected)
-        self.assertEqual(one.current.revision, 1)
-        self.assertIsNotNone(one.apply_revision(entry(2)))
+        self.assertEqual(policy.current.revision, 1)
+        self.assertIsNotNone(policy.apply_revision(entry(2)))
 
 
 class FreshnessTest(unittest.TestCase):
-    def test_silence_of_service_and_peers_makes_it_stale(self):
-        one = policy()
-        self.assertFalse(one.is_fresh(0.0))
-        one.record_service_load(0.0)
-        self.assertTrue(one.is_fresh(4.0))
-        self.assertFalse(one.is_fresh(4.1))
-
-    def test_a_peers_word_keeps_it_fresh_in_an_outage(self):
-        one = policy()
-        one.record_service_load(0.0)
-        one.record_service_failure()
-        one.update_from_peer("entry-2", 0, 100.0, 100.1)
-        self.assertTrue(one.is_fresh(103.0))
+    def test_no_contact_with_service_or_peers_makes_it_stale(self):
+        policy = create_policy()
+        self.assertFalse(policy.is_fresh(0.0))
+        policy.record_service_load(0.0)
+        self.assertTrue(policy.is_fresh(4.0))
+        self.assertFalse(policy.is_fresh(4.1))
+
+    def test_contact_with_a_peer_keeps_it_fresh_in_an_outage(self):
+        policy = create_policy()
+        policy.record_service_load(0.0)
+        policy.record_service_failure()
+        policy.update_from_peer("entry-2", 0, 100.0, 100.1)
+        self.assertTrue(policy.is_fresh(103.0))
 
     def test_a_peer_that_is_behind_does_not_keep_it_fresh(self):
-        one = policy()
-        one.apply_revision(entry(1))
-        one.record_service_load(0.0)
-        one.update_from_peer("entry-2", 0, 100.0, 100.1)
-        self.assertFalse(one.is_fresh(103.0))
-        one.update_from_peer("entry-2", 1, 101.0, 101.1)
-        self.assertTrue(one.is_fresh(103.0))
-
-    def test_an_unasked_word_proves_nothing_about_the_present(self):
-        one = policy()
-        one.record_service_load(0.0)
-        one.update_from_peer("entry-2", 0, None, 100.0)
-        self.assertFalse(one.is_fresh(100.0))
-
-    def test_knowing_of_a_revision_without_having_it_makes_it_stale(self):
-        one = policy()
-        one.record_service_load(0.0)
-        one.update_from_peer("entry-2", 1, 1.0, 1.0)
-        one.update_from_peer("entry-3", 0, 5.0, 5.0)
-        self.assertTrue(one.is_fresh(5.0))
-        self.assertFalse(one.is_fresh(5.1))
-        one.apply_revision(entry(1))
-        self.assertTrue(one.is_fresh(5.1))
+        policy = create_policy()
+        policy.apply_revision(entry(1))
+        policy.record_service_load(0.0)
+        policy.update_from_peer("entry-2", 0, 100.0, 100.1)
+        self.assertFalse(policy.is_fresh(103.0))
+        policy.update_from_peer("entry-2", 1, 101.0, 101.1)
+        self.assertTrue(policy.is_fresh(103.0))
+
+    def test_an_unsolicited_message_does_not_keep_it_fresh(self):
+        policy = create_policy()
+        policy.record_service_load(0.0)
+        policy.update_from_peer("entry-2", 0, None, 100.0)
+        self.assertFalse(policy.is_fresh(100.0))
+
+    def test_a_known_revision_that_is_missing_makes_it_stale(self):
+        policy = create_policy()
+        policy.record_service_load(0.0)
+        policy.update_from_peer("entry-2", 1, 1.0, 1.0)
+        policy.update_from_peer("entry-3", 0, 5.0, 5.0)
+        self.assertTrue(policy.is_fresh(5.0))
+        self.assertFalse(policy.is_fresh(5.1))
+        policy.apply_revision(entry(1))
+        self.assertTrue(policy.is_fresh(5.1))
 
 
 class ReadyTest(unittest.TestCase):
-    def test_serving_does_not_start_below_what_peers_know(self):
-        one = policy()
-        one.update_from_peer("entry-2", 3, 1.0, 1.0)
-        one.record_service_load(1.0)
-        self.assertFalse(one.is_ready(peer_count=6))
-        one.apply_snapshot(configuration(3))
-        self.assertTrue(one.is_ready(peer_count=6))
-
-    def test_without_the_service_several_peers_are_heard_first(self):
-        one = policy()
-        one.update_from_peer("entry-2", 1, 1.0, 1.0)
-        one.apply_snapshot(configuration(1))
-        one.record_peer_load(1.0)
-        self.assertFalse(one.is_ready(peer_count=6))
-        one.update_from_peer("entry-3", 1, 1.0, 1.0)
-        one.update_from_peer("entry-4", 2, 1.0, 1.0)
-        self.assertFalse(one.is_ready(peer_count=6))
-        one.apply_revision(entry(2))
-        self.assertTrue(one.is_ready(peer_count=6))
-
-    def test_peers_that_know_nothing_do_not_make_it_ready(self):
-        one = policy()
+    def test_serving_does_not_start_below_the_revision_of_peers(self):
+        policy = create_policy()
+        policy.update_from_peer("entry-2", 3, 1.0, 1.0)
+        policy.record_service_load(1.0)
+        self.assertFalse(policy.is_ready(peer_count=6))
+        policy.apply_snapshot(configuration(3))
+        self.assertTrue(policy.is_ready(peer_count=6))
+
+    def test_without_the_service_several_peers_must_report_first(self):
+        policy = create_policy()
+        policy.update_from_peer("entry-2", 1, 1.0, 1.0)
+        policy.apply_snapshot(configuration(1))
+        policy.record_peer_load(1.0)
+        self.assertFalse(policy.is_ready(peer_count=6))
+        policy.update_from_peer("entry-3", 1, 1.0, 1.0)
+        policy.update_from_peer("entry-4", 2, 1.0, 1.0)
+        self.assertFalse(policy.is_ready(peer_count=6))
+        policy.apply_revision(entry(2))
+        self.assertTrue(policy.is_ready(peer_count=6))
+
+    def test_peers_without_a_configuration_do_not_make_it_ready(self):
+        policy = create_policy()
         for peer in ("entry-2", "entry-3", "entry-4"):
-            one.update_from_peer(peer, 0, 1.0, 1.0)
-        self.assertFalse(one.is_ready(peer_count=3))
-
-    def test_it_fetches_from_a_peer_that_knows_most(self):
-        one = policy()
-        one.record_service_load(0.0)
-        one.update_from_peer("entry-2", 1, None, 1.0)
-        one.update_from_peer("entry-3", 2, None, 1.0)
-        self.assertIsNone(one.choose_fetch_peer(1.1))
-        self.assertEqual(one.choose_fetch_peer(1.4), "entry-3")
-        self.assertIsNone(one.choose_fetch_peer(1.5))
-        one.remove_peer("entry-3")
-        self.assertEqual(one.choose_fetch_peer(2.0), "entry-2")
+            policy.update_from_peer(peer, 0, 1.0, 1.0)
+        self.assertFalse(policy.is_ready(peer_count=3))
+
+    def test_it_fetches_from_a_peer_with_the_highest_revision(self):
+        policy = create_policy()
+        policy.record_service_load(0.0)
+        policy.update_from_peer("entry-2", 1, None, 1.0)
+        policy.update_from_peer("entry-3", 2, None, 1.0)
+        self.assertIsNone(policy.choose_fetch_peer(1.1))
+        self.assertEqual(policy.choose_fetch_peer(1.4), "entry-3")
+        self.assertIsNone(policy.choose_fetch_peer(1.5))
+        policy.remove_peer("entry-3")
+        self.assertEqual(policy.choose_fetch_peer(2.0), "entry-2")
 
 
 if __name__ == "__main__":
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash the servers that run them."""
+"""Tests of the handling of requests that crash the servers that run them."""
 
 import random
 import threading
@@ -20,72 +20,74 @@
 FATAL = "fatal"
 
 
-class FatalRequest:
-    """One fatal request among innocent ones, over several instances.
+class FatalRequestSchedule:
+    """One fatal request among harmless ones, over several instances.
 
-    News of a crash reaches the other instances some steps late, in any order,
-    and doubled. The fatal request is sent again after each failure, through
-    any instance; suspects are kept apart.
+    Reports of a crash reach the other instances in any order and twice. The
+    fatal request is sent again after each failure, through any instance;
+    suspects never run beside each other.
     """
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.books = [SuspectTracker() for _ in range(4)]
+        self.trackers = [SuspectTracker() for _ in range(4)]
         self.crashes = 0
 
     def run(self):
         for attempt in range(8):
-            book = self.rng.choice(self.books)
-            if book.is_refused(FATAL, float(attempt)):
+            tracker = self.rng.choice(self.trackers)
+            if tracker.is_refused(FATAL, float(attempt)):
                 continue
-            beside = [f"innocent-{n}" for n in self.rng.sample(range(30), 5)]
-            beside = [f for f in beside if not self.anywhere_suspect(f, attempt)]
-            self.crash(book, (*beside, FATAL), float(attempt))
-            self.complete(beside, float(attempt))
+            concurrent = [f"innocent-{n}" for n in self.rng.sample(range(30), 5)]
+            concurrent = [
+                f for f in concurrent if not self.is_suspect_anywhere(f, attempt)
+            ]
+            self.crash(tracker, (*concurrent, FATAL), float(attempt))
+            self.complete(concurrent, float(attempt))
 
-    def anywhere_suspect(self, fingerprint, attempt):
-        return any(b.is_suspect(fingerprint, float(attempt)) for b in self.books)
+    def is_suspect_anywhere(self, fingerprint, attempt):
+        return any(t.is_suspect(fingerprint, float(attempt)) for t in self.trackers)
 
-    def crash(self, seen_by, fingerprints, now):
+    def crash(self, observer, fingerprints, now):
         self.crashes += 1
         crash = Crash(f"engine-{self.crashes}", "1")
-        seen_by.record_crash(crash, fingerprints, now)
-        news = [book for book in self.books for _ in range(2)]
-        self.rng.shuffle(news)
-        for book in news:
-            book.record_crash(crash, fingerprints, now)
+        observer.record_crash(crash, fingerprints, now)
+        deliveries = [tracker for tracker in self.trackers for _ in range(2)]
+        self.rng.shuffle(deliveries)
+        for tracker in deliveries:
+            tracker.record_crash(crash, fingerprints, now)
 
     def complete(self, fingerprints, now):
         for fingerprint in fingerprints:
             if self.rng.random() < 0.5:
-                cleared = self.rng.choice(self.books).record_completion(
+                cleared = self.rng.choice(self.trackers).record_completion(
                     fingerprint, now
                 )
-                for book in self.books:
-                    book.clear(cleared)
+                for tracker in self.trackers:
+                    tracker.clear(cleared)
 
 
-class SuspectBookTest(unittest.TestCase):
-    def test_a_fatal_request_stops_after_two_and_the_innocent_are_not_refused(self):
+class SuspectTrackerTest(unittest.TestCase):
+    def test_a_fatal_request_is_refused_after_two_crashes_and_no_other_is(self):
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
-                fatal = FatalRequest(seed)
-                fatal.run()
-                self.assertEqual(fatal.crashes, 2)
-                for book in fatal.books:
-                    names = list(book.suspicions)
-                    refused = [f for f in names if book.is_refused(f, 8.0)]
+                schedule = FatalRequestSchedule(seed)
+                schedule.run()
+                self.assertEqual(schedule.crashes, 2)
+                for tracker in schedule.trackers:
+                    names = list(tracker.suspicions)
+                    refused = [f for f in names if tracker.is_refused(f, 8.0)]
                     self.assertEqual(refused, [FATAL])
 
     def test_one_crash_seen_by_two_instances_counts_once(self):
-        book = SuspectTracker()
+        tracker = SuspectTracker()
         for _ in range(2):
-            book.record_crash(Crash("engine-1", "5"), ("f",), 0.0)
-        self.assertFalse(book.is_refused("f", 0.0))
-        book.record_crash(Crash("engine-1", "6"), ("f",), 0.0)
-        self.assertTrue(book.is_refused("f", 0.0))
+            tracker.record_crash(Crash("engine-1", "5"), ("f",), 0.0)
+        self.assertFalse(tracker.is_refused("f", 0.0))
+        tracker.record_crash(Crash("engine-1", "6"), ("f",), 0.0)
+        self.assertTrue(tracker.is_refused("f", 0.0))
 
-    def test_a_crash_told_after_its_clearance_is_void(self):
+    def test_a_crash_reported_after_its_clearance_is_ignored(self):
         first, second = SuspectTracker(), SuspectTracker()
         crash = Crash("engine-1", "1")
         first.record_crash(crash, ("f",), 0.0)
@@ -94,16 +96,16 @@
         self.assertFalse(second.is_suspect("f", 2.0))
 
     def test_a_late_completion_does_not_lift_a_refusal(self):
-        book = SuspectTracker()
+        tracker = SuspectTracker()
         for server in ("engine-1", "engine-2"):
-            book.record_crash(Crash(server, "1"), ("f",), 0.0)
-        self.assertIsNone(book.record_completion("f", 1.0))
-        self.assertTrue(book.is_refused("f", 1.0))
-        self.assertFalse(book.is_refused("f", 3600.0))
+            tracker.record_crash(Crash(server, "1"), ("f",), 0.0)
+        self.assertIsNone(tracker.record_completion("f", 1.0))
+        self.assertTrue(tracker.is_refused("f", 1.0))
+        self.assertFalse(tracker.is_refused("f", 3600.0))
 
 
 class SuspectServersTest(unittest.TestCase):
-    def test_servers_are_dealt_out_to_instances_whatever_the_order(self):
+    def test_servers_are_divided_among_instances_in_any_order(self):
         rng = random.Random(5)
         for _ in range(200):
             instances = [f"entry-{n}" for n in range(rng.randint(1, 12))]
@@ -116,18 +118,18 @@
             self.assertEqual(sum(len(part) for part in parts), len(servers))
             self.assertEqual(frozenset().union(*parts), frozenset(servers))
 
-    def test_every_instance_has_a_server_where_these_are_few(self):
+    def test_every_instance_has_a_server_if_servers_are_few(self):
         instances = [f"entry-{n}" for n in range(7)]
         for instance in instances:
             part = servers_for_suspects(["engine-1", "engine-2"], instances, instance)
             self.assertEqual(len(part), 1)
 
 
-class Suspicions(SuspectPolicy):
-    """Keeps requests from every server until they are to be refused."""
+class FakeSuspectPolicy(SuspectPolicy):
+    """Avoids every server until requests are to be refused."""
 
     def __init__(self):
-        self.apart = True
+        self.avoid_all = True
         self.refused = threading.Event()
 
     def refusal(self, request):
@@ -140,22 +142,20 @@
         pass
 
     def avoided(self, request, servers):
-        return frozenset(servers if self.apart else ())
+        return frozenset(servers if self.avoid_all else ())
 
 
 class WaitingSuspectTest(DispatcherCase):
-    def test_a_suspect_is_refused_though_the_second_crash_was_told_while_it_waited(
-        self,
-    ):
-        # It waits for a server that runs no other suspect. Meanwhile a peer
-        # tells that its second run crashed a server as well.
+    def test_a_waiting_suspect_is_refused_once_its_second_crash_is_reported(self):
+        # The suspect waits for a server that runs no other suspect. Meanwhile a
+        # peer reports that its second run has crashed a server as well.
         server = self.serve(full_stream(token_event(0)))
-        suspects = Suspicions()
+        suspects = FakeSuspectPolicy()
         setup = self.dispatch(server, suspects=suspects)
         caller = setup.submit(model_request(1))
         time.sleep(0.1)
         suspects.refused.set()
-        suspects.apart = False
+        suspects.avoid_all = False
         setup.dispatcher.observe_load("engine-0", LoadReport("1", 0, 0, 0, ()))
         self.assertIn(b"request_crashes_servers", caller.answer().body)
         outcome = setup.outcomes.get("r1")
@@ -201,9 +201,9 @@
         started_later = self.registry("entry-4")
         self.wait_until(lambda: started_later.is_refused("f"))
 
-    def test_suspects_of_two_instances_are_apart_before_these_have_told(self):
-        # A fatal request and an innocent stream, which two instances had on
-        # the server that crashed, are sent again within the same millisecond.
+    def test_suspects_of_two_instances_use_different_servers_before_reports(self):
+        # Two instances had a fatal request and a harmless stream on the server
+        # that crashed, and send them again within the same millisecond.
         engines = tuple(f"engine-{n}" for n in range(1, 6))
         requests = (service_request(1, target="/fatal"), service_request(3))
         allowed = []
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Several membership policies on virtual time, with a faulty network."""
+"""A simulation of a fleet's membership on virtual time, with a faulty network."""
 
 import heapq
 import itertools
@@ -20,27 +20,27 @@
 
 @dataclass
 class Faults:
-    """Shares of messages lost and doubled, and the bounds of their delay."""
+    """The fractions of messages lost and duplicated, and the bounds of delays."""
 
     loss: float = 0.0
-    doubling: float = 0.0
+    duplication: float = 0.0
     min_delay_s: float = 0.001
     max_delay_s: float = 0.003
 
 
 @dataclass
 class Node:
-    """One instance; it neither ticks nor reads while `paused` or `down`."""
+    """One instance; it neither ticks nor receives while `paused` or `down`."""
 
     membership: Membership
     down: bool = False
     paused: bool = False
     inbox: list = None
-    word_at: float = float("-inf")
+    last_contact_at: float = float("-inf")
 
 
 class VirtualFleet:
-    """Runs instances until a virtual time; the same seed gives the same run."""
+    """Runs instances on virtual time; equal seeds give equal runs."""
 
     def __init__(self, seed, faults=None):
         self.rng = random.Random(seed)
@@ -49,13 +49,13 @@
         self.nodes = {}
         self.by_address = {}
         self.changes = []
-        self.cut = lambda sender, receiver: False
+        self.is_cut = lambda sender, receiver: False
         self.on_send = lambda sender, receiver, message: None
         self._events = []
         self._numbers = itertools.count()
 
     def start(self, name, seeds=(), incarnation=1, data_centre="cluj"):
-        """Start an instance, or start it again with a higher incarnation."""
+        """Start an instance, or restart it with a higher incarnation."""
         address = _address(name)
         member = Member(name, incarnation, data_centre, address, address)
         membership = Membership(
@@ -72,7 +72,7 @@
         return node
 
     def run(self, seconds):
-        """Let virtual time pass."""
+        """Advance the virtual time by a number of seconds."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -80,24 +80,24 @@
         self.now = end
 
     def run_until(self, condition, limit_s):
-        """Let time pass until a condition holds; return how long it took."""
+        """Advance the time until a condition holds; return how long it took."""
         start = self.now
         while not condition():
             if self.now - start > limit_s:
-                raise AssertionError(f"not within {limit_s} s")
+                raise AssertionError(f"condition not met within {limit_s} s")
             self.run(TICK_S)
         return self.now - start
 
     def kill(self, name):
-        """Stop an instance without a word."""
+        """Stop an instance without an announcement."""
         self.nodes[name].down = True
 
     def pause(self, name):
-        """Stop an instance's threads; messages to it wait."""
+        """Pause an instance; messages to it are buffered."""
         self.nodes[name].paused = True
 
-    def wake(self, name):
-        """End a pause; timers run before the waiting messages are read."""
+    def resume(self, name):
+        """End a pause; timers run before the buffered messages are received."""
         node = self.nodes[name]
         node.paused = False
         self._tick(name, node)
@@ -105,13 +105,13 @@
         for sender, message in waiting:
             self._receive(name, node, sender, message)
 
-    def do(self, name, decide):
-        """Let one instance decide something now."""
+    def perform(self, name, action):
+        """Call an action with one instance's membership and the current time."""
         node = self.nodes[name]
-        self._act(name, node, decide(node.membership, self.now))
+        self._act(name, node, action(node.membership, self.now))
 
-    def up(self):
-        """Return the names of the instances that run."""
+    def running(self):
+        """Return the names of the running instances."""
         return {name for name, node in self.nodes.items() if not node.down}
 
     def view(self, name):
@@ -120,11 +120,11 @@
         return {member.instance for member in members}
 
     def agreed(self):
-        """Return whether every running instance sees just those that run."""
-        return all(self.view(name) == self.up() for name in self.up())
+        """Return whether every running instance sees exactly the running ones."""
+        return all(self.view(name) == self.running() for name in self.running())
 
-    def lost(self, name):
-        """Return the changes in which an instance was taken for dead."""
+    def deaths_of(self, name):
+        """Return the changes in which an instance was declared dead."""
         return [
             update
             for _, _, update in self.changes
@@ -148,14 +148,14 @@
                 case MemberChanged(update=update):
                     self.changes.append((self.now, name, update))
                 case PeerContact(as_of=as_of) if as_of is not None:
-                    node.word_at = max(node.word_at, as_of)
+                    node.last_contact_at = max(node.last_contact_at, as_of)
 
     def _send(self, name, node, action):
         receiver = action.instance or self.by_address.get(action.address)
         self.on_send(name, receiver, action.message)
-        if receiver not in self.nodes or self.cut(name, receiver):
+        if receiver not in self.nodes or self.is_cut(name, receiver):
             return
-        copies = 2 if self.rng.random() < self.faults.doubling else 1
+        copies = 2 if self.rng.random() < self.faults.duplication else 1
         for _ in range(copies):
             if self.rng.random() >= self.faults.loss:
                 self._deliver(name, receiver, action.message)
