--- a/src/cassiaford/policy/_prefix_placement.py
+++ b/src/cassiaford/policy/_prefix_placement.py
@@ -208,7 +208,7 @@
     def homes(
         self, request: PlacementRequest, servers: Sequence[ServerView], now: float
     ) -> Homes:
-        """Return the homes of a request's prompt, whatever their state."""
+        """Return the homes of a request's prompt, also those that are unusable now."""
         prompt = PromptBlocks(request.chain, self.table)
         return self.home_finder.find(prompt, servers, now)
 
--- a/src/cassiaford/policy/_queue.py
+++ b/src/cassiaford/policy/_queue.py
@@ -43,7 +43,7 @@
 
     @abstractmethod
     def discard(self, request_id: str) -> None:
-        """Remove the ticket of a request whose caller has left, if it is here."""
+        """Remove the ticket of a request whose caller has left, if it is queued."""
 
     @abstractmethod
     def __len__(self) -> int:
@@ -93,7 +93,7 @@
         return expired
 
     def discard(self, request_id: str) -> None:
-        """Remove the ticket of a request whose caller has left, if it is here."""
+        """Remove the ticket of a request whose caller has left, if it is queued."""
         for ticket in self.tickets:
             if ticket.request_id == request_id:
                 self.tickets.remove(ticket)
