--- a/src/cassiaford/cli/__init__.py
+++ b/src/cassiaford/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command-line interface; importing it registers all commands."""
 
 from cassiaford.cli import (  # noqa: F401
     _customer,
--- a/src/cassiaford/cli/_app.py
+++ b/src/cassiaford/cli/_app.py
@@ -1,4 +1,4 @@
-"""The commands and their options."""
+"""The application to which the command modules add their commands."""
 
 import typer
 
@@ -21,10 +21,14 @@
 @app.callback()
 def root(
     version: bool = typer.Option(
-        False, "--version", callback=_print_version, is_eager=True, help="Print it."
+        False,
+        "--version",
+        callback=_print_version,
+        is_eager=True,
+        help="Print the version.",
     ),
 ) -> None:
-    """Take the options that stand before a command."""
+    """Handle the options that precede a command."""
 
 
 def main() -> None:
--- a/src/cassiaford/cli/_customer.py
+++ b/src/cassiaford/cli/_customer.py
@@ -1,4 +1,4 @@
-"""The commands about customers."""
+"""The commands that create and show customers."""
 
 from dataclasses import asdict
 from typing import Annotated
@@ -12,7 +12,7 @@
     KeyValueOption,
     SettingsOption,
     open_log,
-    write,
+    write_revision,
 )
 from cassiaford.cli._output import (
     EXIT_CODES_HELP,
@@ -29,8 +29,8 @@
 )
 app.add_typer(customers, name="customer")
 
-Rate = Annotated[float, typer.Option(help="Tokens a second.", min=0.001)]
-Burst = Annotated[float, typer.Option(help="Tokens at once.", min=0.001)]
+Rate = Annotated[float, typer.Option(help="Tokens per second.", min=0.001)]
+Burst = Annotated[float, typer.Option(help="Maximum tokens at once.", min=0.001)]
 Models = Annotated[list[str], typer.Option("--model", help="A model; may be repeated.")]
 
 
@@ -41,20 +41,20 @@
     burst: Burst,
     model: Models = [],  # noqa: B006
     replace: Annotated[
-        bool, typer.Option("--replace", help="Alter a customer that exists.")
+        bool, typer.Option("--replace", help="Change an existing customer.")
     ] = False,
     key_value: KeyValueOption = "",
     settings: SettingsOption = None,
     author: AuthorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Create a customer with a rate and a burst over the whole fleet."""
+    """Create a customer with a rate and a burst for the whole fleet."""
     with reporting_errors():
         log = open_log(key_value, settings)
         base = log.load()
-        _check(base, name, model, replace)
+        _check_customer(base, name, model, replace)
         customer = Customer(name, rate, burst, tuple(model))
-        revision = write(log, base, [PutCustomer(customer)], author)
+        revision = write_revision(log, base, [PutCustomer(customer)], author)
         print_revision(revision, as_json)
 
 
@@ -68,16 +68,16 @@
     """Show a customer and the identifiers of its keys."""
     with reporting_errors():
         configuration = open_log(key_value, settings).load()
-        customer = find(configuration, name)
-        keys = keys_of(configuration, name)
+        customer = get_customer(configuration, name)
+        key_ids = key_ids_of(configuration, name)
         if as_json:
-            print_json(_as_document(customer, keys))
+            print_json(_as_document(customer, key_ids))
             return
         typer.echo(f"customer {customer.name}")
         typer.echo(f"rate     {customer.rate:g} tokens a second")
         typer.echo(f"burst    {customer.burst:g} tokens")
         typer.echo(f"models   {' '.join(customer.models) or 'none'}")
-        typer.echo(f"keys     {' '.join(keys) or 'none'}")
+        typer.echo(f"keys     {' '.join(key_ids) or 'none'}")
 
 
 @customers.command("list", epilog=EXIT_CODES_HELP)
@@ -89,37 +89,39 @@
     """List all customers."""
     with reporting_errors():
         configuration = open_log(key_value, settings).load()
-        found = sorted(configuration.customers.values(), key=lambda c: c.name)
+        listed = sorted(configuration.customers.values(), key=lambda c: c.name)
         if as_json:
-            print_json([_as_document(c, keys_of(configuration, c.name)) for c in found])
+            print_json(
+                [_as_document(c, key_ids_of(configuration, c.name)) for c in listed]
+            )
             return
         rows = [
-            (c.name, f"{c.rate:g}", f"{c.burst:g}", " ".join(c.models)) for c in found
+            (c.name, f"{c.rate:g}", f"{c.burst:g}", " ".join(c.models)) for c in listed
         ]
         print_table(("CUSTOMER", "RATE", "BURST", "MODELS"), rows)
 
 
-def find(configuration: Configuration, name: str) -> Customer:
-    """Return a customer by name; raises `CommandError` if there is none."""
+def get_customer(configuration: Configuration, name: str) -> Customer:
+    """Return a customer by name; raises `CommandError` if it does not exist."""
     if name not in configuration.customers:
         raise CommandError(f"no customer named {name!r}")
     return configuration.customers[name]
 
 
-def keys_of(configuration: Configuration, name: str) -> list[str]:
+def key_ids_of(configuration: Configuration, name: str) -> list[str]:
     """Return the identifiers of a customer's keys."""
     return sorted(
         key.key_id for key in configuration.keys.values() if key.customer == name
     )
 
 
-def _check(base, name, models, replace):
+def _check_customer(base, name, models, replace):
     if name in base.customers and not replace:
-        raise CommandError(f"customer {name!r} exists; --replace alters it")
+        raise CommandError(f"customer {name!r} exists; use --replace to change it")
     for model in models:
         if model not in base.models:
             raise CommandError(f"no model named {model!r}")
 
 
-def _as_document(customer, keys):
-    return {**asdict(customer), "keys": keys}
+def _as_document(customer, key_ids):
+    return {**asdict(customer), "keys": key_ids}
--- a/src/cassiaford/cli/_fleet.py
+++ b/src/cassiaford/cli/_fleet.py
@@ -1,9 +1,9 @@
-"""The commands that ask the entry instances."""
+"""The commands that query entry instances."""
 
 import typer
 
 from cassiaford.cli._app import app
-from cassiaford.cli._http import ask, ask_fleet, report_missing
+from cassiaford.cli._http import fetch_document, fetch_statuses, report_unreachable
 from cassiaford.cli._options import InstanceOption, JsonOption, TokenOption
 from cassiaford.cli._output import (
     EXIT_CODES_HELP,
@@ -19,19 +19,21 @@
     token: TokenOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show every entry instance that the named one knows.
+    """Show every entry instance that the given one lists as a member.
 
-    An instance that does not answer is named on standard error with the
+    An instance that does not respond is named on standard error with the
     cause, and the exit code is then 4.
     """
     with reporting_errors():
-        answers = ask_fleet(instance, token)
+        responses = fetch_statuses(instance, token)
         if as_json:
-            print_json([answer.document or _failure(answer) for answer in answers])
+            print_json(
+                [response.document or _failure(response) for response in responses]
+            )
         else:
-            rows = [_row(answer) for answer in answers]
+            rows = [_row(response) for response in responses]
             print_table(("INSTANCE", "ADDRESS", "REVISION", "STATE", "IN FLIGHT"), rows)
-        report_missing(answers)
+        report_unreachable(responses)
 
 
 @app.command(epilog=EXIT_CODES_HELP)
@@ -44,7 +46,7 @@
     """Show the entry instances that a customer's callers should use."""
     with reporting_errors():
         fields = {"customer": customer, "data_centre": data_centre}
-        document = ask(instance, "/cassiaford/v1/entries", fields=fields)
+        document = fetch_document(instance, "/cassiaford/v1/entries", fields=fields)
         if as_json:
             print_json(document)
             return
@@ -52,13 +54,13 @@
             typer.echo(entry["http_address"])
 
 
-def _row(answer):
-    status = answer.document
+def _row(response):
+    status = response.document
     if not status:
-        return (answer.instance, answer.address, "-", "no answer", "-")
+        return (response.instance, response.address, "-", "no answer", "-")
     return (
-        answer.instance,
-        answer.address,
+        response.instance,
+        response.address,
         status["revision"],
         _state(status),
         status["in_flight"],
@@ -71,9 +73,9 @@
     return "ready" if status["ready"] else "not ready"
 
 
-def _failure(answer):
+def _failure(response):
     return {
-        "instance": answer.instance,
-        "address": answer.address,
-        "error": answer.error,
+        "instance": response.instance,
+        "address": response.address,
+        "error": response.error,
     }
--- a/src/cassiaford/cli/_http.py
+++ b/src/cassiaford/cli/_http.py
@@ -1,4 +1,4 @@
-"""Asking entry instances over HTTP."""
+"""HTTP requests to entry instances."""
 
 import json
 from collections.abc import Iterable
@@ -8,16 +8,16 @@
 import typer
 import urllib3
 
-from cassiaford.cli._output import CommandError, ExitCode, NoAnswerError
+from cassiaford.cli._output import CommandError, ExitCode, NoResponseError
 
 TIMEOUT_S = 3.0
-MAX_ASKED_AT_ONCE = 16
+MAX_CONCURRENT_REQUESTS = 16
 STATUS_PATH = "/cassiaford/v1/status"
 
 
 @dataclass(frozen=True)
-class InstanceAnswer:
-    """What an instance answered, or why it did not."""
+class InstanceResponse:
+    """The document that an instance returned, or why it returned none."""
 
     instance: str
     address: str
@@ -25,60 +25,64 @@
     error: str = ""
 
 
-def ask(address: str, path: str, token: str = "", fields: dict | None = None) -> dict:
-    """Return the JSON document that an instance has at a path.
+def fetch_document(
+    address: str, path: str, token: str = "", fields: dict | None = None
+) -> dict:
+    """Return the JSON document that an instance serves at a path.
 
-    Raises `NoAnswerError` if there is no answer and `CommandError` if the
-    instance refuses.
+    Raises `NoResponseError` if there is no valid response and `CommandError`
+    if the response is an error.
     """
     if not address:
-        raise CommandError("name an instance by --instance or CASSIAFORD_INSTANCE")
+        raise CommandError("name an instance with --instance or CASSIAFORD_INSTANCE")
     headers = {"Authorization": f"Bearer {token}"} if token else {}
     url = f"http://{address}{path}"
     try:
-        answer = urllib3.request(
+        response = urllib3.request(
             "GET", url, headers=headers, fields=fields, timeout=TIMEOUT_S, retries=False
         )
-        document = json.loads(answer.data)
+        document = json.loads(response.data)
     except (urllib3.exceptions.HTTPError, ValueError) as error:
-        raise NoAnswerError(f"instance at {address}: {error}") from None
+        raise NoResponseError(f"instance at {address}: {error}") from None
     if not isinstance(document, dict):
-        raise NoAnswerError(f"instance at {address}: not a cassiaford answer")
-    if answer.status != 200:
+        raise NoResponseError(f"instance at {address}: not a cassiaford response")
+    if response.status != 200:
         message = document.get("error", {}).get("message", "")
-        raise CommandError(f"instance at {address}: {answer.status} {message}")
+        raise CommandError(f"instance at {address}: {response.status} {message}")
     return document
 
 
-def ask_fleet(address: str, token: str) -> list[InstanceAnswer]:
-    """Return the status of an instance and of every member it knows."""
-    return ask_members(address, token, STATUS_PATH, {})
+def fetch_statuses(address: str, token: str) -> list[InstanceResponse]:
+    """Return the status of every member that an instance lists, itself included."""
+    return fetch_from_members(address, token, STATUS_PATH, {})
 
 
-def ask_members(
+def fetch_from_members(
     address: str, token: str, path: str, fields: dict
-) -> list[InstanceAnswer]:
-    """Return what every member that an instance knows has at a path."""
-    members = ask(address, STATUS_PATH, token).get("members", [])
-    with ThreadPoolExecutor(MAX_ASKED_AT_ONCE) as pool:
+) -> list[InstanceResponse]:
+    """Return the document at a path of every member that an instance lists."""
+    members = fetch_document(address, STATUS_PATH, token).get("members", [])
+    with ThreadPoolExecutor(MAX_CONCURRENT_REQUESTS) as pool:
         return list(
-            pool.map(lambda member: _ask_member(member, path, token, fields), members)
+            pool.map(
+                lambda member: _fetch_from_member(member, path, token, fields), members
+            )
         )
 
 
-def report_missing(answers: Iterable[InstanceAnswer]) -> None:
-    """Name the instances that did not answer, and end with their exit code."""
-    missing = [answer for answer in answers if answer.error]
-    for answer in missing:
-        typer.echo(f"{answer.instance}: {answer.error}", err=True)
-    if missing:
+def report_unreachable(responses: Iterable[InstanceResponse]) -> None:
+    """Print the instances without a response; if any, exit as unavailable."""
+    unreachable = [response for response in responses if response.error]
+    for response in unreachable:
+        typer.echo(f"{response.instance}: {response.error}", err=True)
+    if unreachable:
         raise typer.Exit(ExitCode.UNAVAILABLE)
 
 
-def _ask_member(member, path, token, fields):
+def _fetch_from_member(member, path, token, fields):
     name, address = member["instance"], member["http_address"]
     try:
-        document = ask(address, path, token, fields)
-    except (NoAnswerError, CommandError) as error:
-        return InstanceAnswer(name, address, error=str(error))
-    return InstanceAnswer(name, address, document)
+        document = fetch_document(address, path, token, fields)
+    except (NoResponseError, CommandError) as error:
+        return InstanceResponse(name, address, error=str(error))
+    return InstanceResponse(name, address, document)
--- a/src/cassiaford/cli/_key.py
+++ b/src/cassiaford/cli/_key.py
@@ -1,18 +1,18 @@
-"""The commands about keys."""
+"""The commands that grant and withdraw keys."""
 
 from typing import Annotated
 
 import typer
 
 from cassiaford.cli._app import app
-from cassiaford.cli._customer import find
+from cassiaford.cli._customer import get_customer
 from cassiaford.cli._options import (
     AuthorOption,
     JsonOption,
     KeyValueOption,
     SettingsOption,
     open_log,
-    write,
+    write_revision,
 )
 from cassiaford.cli._output import (
     EXIT_CODES_HELP,
@@ -38,18 +38,18 @@
     author: AuthorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Grant a customer a new key and print it, this once."""
+    """Grant a customer a new key and print it; it is not shown again."""
     with reporting_errors():
         log = open_log(key_value, settings)
         base = log.load()
-        find(base, customer)
+        get_customer(base, customer)
         issued = issue_key(customer)
         try:
-            revision = write(log, base, [PutKey(issued.entry)], author)
+            revision = write_revision(log, base, [PutKey(issued.entry)], author)
         except UnknownOutcomeError:
             typer.echo(
-                f"error: key {issued.entry.key_id} may be in force and is lost; "
-                "withdraw it once the service answers",
+                f"error: key {issued.entry.key_id} may be in force but is lost; "
+                "withdraw it once the service responds",
                 err=True,
             )
             raise
@@ -76,11 +76,13 @@
     author: AuthorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Withdraw a key; it stops working everywhere within seconds."""
+    """Withdraw a key; every instance refuses it within seconds."""
     with reporting_errors():
         log = open_log(key_value, settings)
         base = log.load()
         if key_id not in base.keys:
-            raise CommandError("no key has this identifier (give the part KEY_ID only)")
-        revision = write(log, base, [RemoveKey(key_id)], author)
+            raise CommandError(
+                "no key has this identifier (pass only the KEY_ID part of a key)"
+            )
+        revision = write_revision(log, base, [RemoveKey(key_id)], author)
         print_revision(revision, as_json)
--- a/src/cassiaford/cli/_options.py
+++ b/src/cassiaford/cli/_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options and functions that several commands share."""
 
 import getpass
 import os
@@ -23,17 +23,17 @@
         "--key-value",
         envvar=KEY_VALUE_VARIABLE,
         metavar="ADDRESS",
-        help="The key-value service, such as 127.0.0.1:9000.",
+        help="Address of the key-value service, such as 127.0.0.1:9000.",
     ),
 ]
 SettingsOption = Annotated[
     Path | None,
-    typer.Option("--settings", help="A settings file that names the service."),
+    typer.Option("--settings", help="A settings file with the address of the service."),
 ]
 AuthorOption = Annotated[
     str,
     typer.Option(
-        "--author", envvar=AUTHOR_VARIABLE, help="Who makes the change; your login."
+        "--author", envvar=AUTHOR_VARIABLE, help="Author of the change; default: login."
     ),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
@@ -53,24 +53,30 @@
 
 
 def open_log(key_value: str, settings: Path | None) -> ConfigurationLog:
-    """Return the configuration log in the service that the options name."""
-    return ConfigurationLog(keyvalue.connect_key_value(_choose(key_value, settings)))
+    """Return the configuration log in the service given by the options."""
+    return ConfigurationLog(
+        keyvalue.connect_key_value(_key_value_settings(key_value, settings))
+    )
 
 
-def write(
+def write_revision(
     log: ConfigurationLog, base, changes: Sequence[Change], author: str
 ) -> Revision:
-    """Write a revision after a configuration, in an operator's name."""
+    """Write the revision that follows `base`.
+
+    The author defaults to the login name.
+    """
     return log.append(base, changes, Author(author or _login()))
 
 
-def _choose(key_value, settings):
+def _key_value_settings(key_value, settings):
     if key_value:
         return KeyValueSettings(address=key_value, list_address=key_value)
     if settings is not None:
         return load_settings(settings).key_value
     raise CommandError(
-        f"name the key-value service by --key-value, {KEY_VALUE_VARIABLE} or --settings"
+        f"name the key-value service with --key-value, {KEY_VALUE_VARIABLE}"
+        " or --settings"
     )
 
 
--- a/src/cassiaford/cli/_server.py
+++ b/src/cassiaford/cli/_server.py
@@ -1,4 +1,4 @@
-"""The commands about backend servers."""
+"""The commands that add and remove backend servers."""
 
 from dataclasses import replace
 from typing import Annotated
@@ -13,7 +13,7 @@
     KeyValueOption,
     SettingsOption,
     open_log,
-    write,
+    write_revision,
 )
 from cassiaford.cli._output import (
     EXIT_CODES_HELP,
@@ -32,7 +32,7 @@
 )
 
 servers = typer.Typer(
-    help="Join and take out backend servers.",
+    help="Add and remove backend servers.",
     epilog=EXIT_CODES_HELP,
     no_args_is_help=True,
 )
@@ -45,22 +45,26 @@
 def join(
     name: str,
     address: Annotated[str, typer.Option(help="Its address, such as 10.0.0.7:8000.")],
-    data_centre: Annotated[str, typer.Option(help="The data centre it stands in.")],
-    kind: Annotated[ServerKind, typer.Option(help="What it is.")] = ServerKind.ENGINE,
+    data_centre: Annotated[str, typer.Option(help="The data centre that it is in.")],
+    kind: Annotated[
+        ServerKind, typer.Option(help="The kind of server.")
+    ] = ServerKind.ENGINE,
     model: Annotated[
         list[str], typer.Option("--model", help="A model it serves; may be repeated.")
     ] = [],  # noqa: B006
     group: Annotated[str, typer.Option(help="The group of a plain service.")] = "",
     checks_fencing: Annotated[
-        bool, typer.Option("--checks-fencing", help="It refuses old orders.")
+        bool, typer.Option("--checks-fencing", help="It rejects outdated orders.")
     ] = False,
-    slots: Annotated[int, typer.Option(min=1, help="Requests at once.")] = 32,
+    slots: Annotated[
+        int, typer.Option(min=1, help="Maximum concurrent requests.")
+    ] = 32,
     key_value: KeyValueOption = "",
     settings: SettingsOption = None,
     author: AuthorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Join a backend server, or bring back one that is leaving."""
+    """Add a backend server, or rejoin one that is leaving."""
     with reporting_errors():
         server = BackendServer(
             name=name,
@@ -74,8 +78,8 @@
         )
         log = open_log(key_value, settings)
         base = log.load()
-        _check(base, server)
-        print_revision(write(log, base, [PutServer(server)], author), as_json)
+        _check_server(base, server)
+        print_revision(write_revision(log, base, [PutServer(server)], author), as_json)
 
 
 @servers.command(epilog=EXIT_CODES_HELP)
@@ -89,7 +93,7 @@
     author: AuthorOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Give a backend server no new work; what runs on it ends by itself."""
+    """Send a backend server no new requests; running ones may finish."""
     with reporting_errors():
         log = open_log(key_value, settings)
         base = log.load()
@@ -97,7 +101,7 @@
             raise CommandError(f"no backend server named {name!r}")
         leaving = replace(base.servers[name], state=ServerState.LEAVING)
         change = RemoveServer(name) if forget else PutServer(leaving)
-        print_revision(write(log, base, [change], author), as_json)
+        print_revision(write_revision(log, base, [change], author), as_json)
 
 
 @servers.command("list", epilog=EXIT_CODES_HELP)
@@ -109,9 +113,9 @@
     """List all backend servers."""
     with reporting_errors():
         configuration = open_log(key_value, settings).load()
-        found = sorted(configuration.servers.values(), key=lambda s: s.name)
+        listed = sorted(configuration.servers.values(), key=lambda s: s.name)
         if as_json:
-            print_json([_SERVER.dump_python(server, mode="json") for server in found])
+            print_json([_SERVER.dump_python(server, mode="json") for server in listed])
             return
         rows = [
             (
@@ -122,13 +126,13 @@
                 " ".join(server.models) or server.group or "",
                 server.state.value,
             )
-            for server in found
+            for server in listed
         ]
         header = ("SERVER", "ADDRESS", "DATA CENTRE", "KIND", "SERVES", "STATE")
         print_table(header, rows)
 
 
-def _check(base, server):
+def _check_server(base, server):
     if server.kind is ServerKind.SERVICE and server.group is None:
         raise CommandError("a plain service needs --group")
     if server.kind is ServerKind.ENGINE and not server.models:
--- a/src/cassiaford/cli/_timeline.py
+++ b/src/cassiaford/cli/_timeline.py
@@ -1,4 +1,4 @@
-"""The command that gathers the time line from all live instances."""
+"""The command that merges the time lines of instances."""
 
 import datetime
 import pathlib
@@ -7,7 +7,7 @@
 import typer
 
 from cassiaford.cli._app import app
-from cassiaford.cli._http import ask_members, report_missing
+from cassiaford.cli._http import fetch_from_members, report_unreachable
 from cassiaford.cli._options import InstanceOption, JsonOption, TokenOption
 from cassiaford.cli._output import (
     EXIT_CODES_HELP,
@@ -34,38 +34,41 @@
     request: Annotated[str, typer.Option(help="Only this request.")] = "",
     customer: Annotated[str, typer.Option(help="Only this customer.")] = "",
     since: Annotated[
-        str, typer.Option(help="Only from this time on, such as 2026-12-03T08:00:00Z.")
+        str, typer.Option(help="Only since this time, such as 2026-12-03T08:00:00Z.")
     ] = "",
     log: Annotated[
         list[pathlib.Path] | None,
-        typer.Option(help="Read this log file instead of asking instances."),
+        typer.Option(help="Read this log file instead of querying instances."),
     ] = None,
     as_json: JsonOption = False,
-    as_html: Annotated[bool, typer.Option("--html", help="Print a page.")] = False,
+    as_html: Annotated[
+        bool, typer.Option("--html", help="Print an HTML page.")
+    ] = False,
 ) -> None:
     """Show the events of all instances in one order.
 
-    From live instances, no effect stands before its cause; one that does not
-    answer is named on standard error, and the exit code is then 4. From log
-    files, the clocks of instances are aligned by what all learn together.
+    Events of live instances are ordered so that no effect precedes its cause;
+    an instance that does not respond is named on standard error, and the exit
+    code is then 4. In log files, the clocks of instances are aligned by the
+    configurations and versions that all of them log at nearly the same time.
     """
     with reporting_errors():
         if log:
-            records = _from_logs(log, request, customer, _seconds(since))
-            _print(records, as_json, as_html)
+            records = _read_logs(log, request, customer, _parse_time(since))
+            _print_records(records, as_json, as_html)
             return
-        fields = {"request": request, "customer": customer, "since": _seconds(since)}
-        answers = ask_members(instance, token, TIMELINE_PATH, fields)
+        fields = {"request": request, "customer": customer, "since": _parse_time(since)}
+        responses = fetch_from_members(instance, token, TIMELINE_PATH, fields)
         records = merge(
             parse_record(document)
-            for answer in answers
-            for document in answer.document.get("records", [])
+            for response in responses
+            for document in response.document.get("records", [])
         )
-        _print(records, as_json, as_html)
-        report_missing(answers)
+        _print_records(records, as_json, as_html)
+        report_unreachable(responses)
 
 
-def _from_logs(paths, request, customer, since_s):
+def _read_logs(paths, request, customer, since_s):
     try:
         lines = [
             line
@@ -83,7 +86,7 @@
     ]
 
 
-def _print(records, as_json, as_html):
+def _print_records(records, as_json, as_html):
     if as_json:
         print_json([record_document(record) for record in records])
     elif as_html:
@@ -93,13 +96,15 @@
             typer.echo(text_line(record))
 
 
-def _seconds(since):
+def _parse_time(since):
     if not since:
         return 0.0
     try:
         moment = datetime.datetime.fromisoformat(since)
     except ValueError:
-        raise CommandError(f"{since!r} is not a time like 2026-12-03T08:00") from None
+        raise CommandError(
+            f"{since!r} is not a time such as 2026-12-03T08:00"
+        ) from None
     if moment.tzinfo is None:
         moment = moment.replace(tzinfo=datetime.UTC)
     return moment.timestamp()
