--- a/src/cassiaford/cli/_serve.py
+++ b/src/cassiaford/cli/_serve.py
@@ -24,7 +24,7 @@
 ) -> None:
     """Run an entry instance until SIGTERM or SIGINT.
 
-    The first signal starts a graceful shutdown, a second one stops at once.
+    The first signal starts a graceful shutdown, a second one ends it early.
     The exit status is 0 if every accepted request was finished, 1 if some were
     aborted, and 2 if the settings, or an address in them, cannot be used.
     """
--- a/src/cassiaford/fleet/_claim_shards.py
+++ b/src/cassiaford/fleet/_claim_shards.py
@@ -204,7 +204,7 @@
         return bool(self.claims.pending) or self.stopping
 
     def _perform(self, step):
-        """Perform one step; return whether a write conflict to another instance's."""
+        """Perform one step; return whether a write lost to another instance's."""
         match step:
             case ReadShard():
                 self._on_shard_entry(self.key_value.get(_shard_key(self.name)))
--- a/src/cassiaford/fleet/_fleet.py
+++ b/src/cassiaford/fleet/_fleet.py
@@ -53,15 +53,15 @@
         self.configuration.start()
 
     def announce_ready(self) -> None:
-        """Tell peers that this instance accepts requests, so that lookups return it."""
+        """Announce to peers that lookups may return this instance to callers."""
         self.runner.announce_ready()
 
     def leave(self) -> None:
-        """Tell peers to stop returning this instance from lookups."""
+        """Announce to peers that lookups must no longer return this instance."""
         self.runner.leave()
 
     def stop(self) -> None:
-        """Tell peers that this instance has stopped, and close the sockets."""
+        """Announce to peers that this instance has stopped; close the sockets."""
         if self.sockets.stopped:
             return
         self.instance_list.stop()
--- a/src/cassiaford/fleet/_membership.py
+++ b/src/cassiaford/fleet/_membership.py
@@ -97,15 +97,15 @@
         self._run_policy(self.membership.tick)
 
     def announce_ready(self) -> None:
-        """Tell peers that this instance accepts requests."""
+        """Announce to peers that this instance accepts requests."""
         self._run_policy(self.membership.announce_ready)
 
     def leave(self) -> None:
-        """Tell peers that this instance accepts no new requests."""
+        """Announce to peers that this instance accepts no new requests."""
         self._run_policy(self.membership.leave)
 
     def stop(self) -> None:
-        """Tell peers that this instance has stopped."""
+        """Announce to peers that this instance has stopped."""
         self._run_policy(self.membership.stop)
 
     def _receive(self, message: PeerMessage):
@@ -237,7 +237,7 @@
         self.sockets.handlers[channel] = handler
 
     def members(self):
-        """Return the live members, this instance among them."""
+        """Return the live members, including this instance."""
         return self.runner.members()
 
     def handle_requests(self, channel, handler):
