--- a/src/cassiaford/instance/_acceptance.py
+++ b/src/cassiaford/instance/_acceptance.py
@@ -9,8 +9,8 @@
 from cassiaford.instance._http import Exchange
 from cassiaford.pipeline import AdmittedRequest, Dispatcher, Header, Outcome
 from cassiaford.pipeline._admit import IDEMPOTENCY_HEADER
-from cassiaford.pipeline._answers import REQUEST_ID_HEADER, VERDICT_HEADER
-from cassiaford.pipeline._settle import Settler
+from cassiaford.pipeline._finalize import RequestFinalizer
+from cassiaford.pipeline._http_responses import REQUEST_ID_HEADER, VERDICT_HEADER
 from cassiaford.policy import Claim, RecordedOutcome
 from cassiaford.verdict import Refusal, RefusalReason, Verdict, refuse
 
@@ -25,7 +25,7 @@
         self,
         claims: ClaimService,
         dispatcher: Dispatcher,
-        settler: Settler,
+        settler: RequestFinalizer,
         clock: Callable[[], float] = time.monotonic,
     ):
         self.claims = claims
@@ -36,13 +36,13 @@
     def accept(self, request: AdmittedRequest, exchange: Exchange) -> Refusal | None:
         """Take a request over; return a refusal if it must not run."""
         if request.repeatable:
-            self.dispatcher.submit(request, exchange.detach(), self.settler.settle)
+            self.dispatcher.submit(request, exchange.detach(), self.settler.finalize)
             return None
         answer = self._claim(request)
         if isinstance(answer, Claim):
             self._submit_claimed(request, answer, exchange)
             return None
-        self.settler.give_back_all(request)
+        self.settler.refund_all(request)
         if isinstance(answer, RecordedOutcome):
             _replay(answer, exchange)
             return None
@@ -64,7 +64,7 @@
     def _submit_claimed(self, request, claim, exchange):
         def settle(settled: AdmittedRequest, outcome: Outcome) -> None:
             self.claims.record(claim, outcome)
-            self.settler.settle(settled, outcome)
+            self.settler.finalize(settled, outcome)
 
         claimed = replace(request, start_by=claim.start_by)
         self.dispatcher.submit(claimed, exchange.detach(), settle)
--- a/src/cassiaford/instance/_crashes.py
+++ b/src/cassiaford/instance/_crashes.py
@@ -36,7 +36,7 @@
             "backend servers crashed while they ran this request; it is not run again",
         )
 
-    def crashed(self, request: AdmittedRequest, server: str) -> None:
+    def record_crash(self, request: AdmittedRequest, server: str) -> None:
         """Take note that a server's connection broke while it ran a request."""
         # Reported at once, since the next attempt may follow within
         # milliseconds; reports of one incarnation's crash add up.
@@ -44,12 +44,12 @@
             server, (fingerprint(request),), self.incarnations.get(server, "")
         )
 
-    def completed(self, request: AdmittedRequest) -> None:
+    def record_completion(self, request: AdmittedRequest) -> None:
         """Clear a request that has run to its end."""
         if self.registry.has_suspects():
             self.registry.record_completion(fingerprint(request))
 
-    def avoided(
+    def servers_to_avoid(
         self, request: AdmittedRequest, servers: tuple[str, ...]
     ) -> frozenset[str]:
         """Return the servers with another suspect, and those left to peers."""
@@ -62,14 +62,14 @@
         own = servers_for_suspects(servers, instances, self.registry.instance)
         return frozenset(servers) - (own - occupied)
 
-    def sent(self, request: AdmittedRequest, server: str) -> None:
+    def record_start(self, request: AdmittedRequest, server: str) -> None:
         """Take note that a request was sent to a server."""
         name = self._suspect_name(request)
         if name:
             with self._lock:
                 self.running.setdefault(server, set()).add(name)
 
-    def left(self, request: AdmittedRequest, server: str) -> None:
+    def record_end(self, request: AdmittedRequest, server: str) -> None:
         """Take note that a request no longer runs on a server."""
         with self._lock:
             if server not in self.running:
--- a/src/cassiaford/instance/_handler.py
+++ b/src/cassiaford/instance/_handler.py
@@ -14,7 +14,7 @@
     Filter,
     ReceiveFilter,
 )
-from cassiaford.pipeline._settle import Settler
+from cassiaford.pipeline._finalize import RequestFinalizer
 from cassiaford.timeline import Journal
 from cassiaford.verdict import Refusal, RefusalReason, refuse
 
@@ -32,7 +32,7 @@
         local: LocalEndpoints,
         intake: Sequence[Filter],
         accept: Callable[[AdmittedRequest, Exchange], Refusal | None],
-        settler: Settler,
+        settler: RequestFinalizer,
         metrics: Metrics,
         journal: Journal,
     ):
@@ -88,5 +88,5 @@
             )
             refusal = self.accept(message, exchange)
         if refusal is not None:
-            self.settler.settle_refused(caller, customer_name, refusal)
+            self.settler.finalize_refused(caller, customer_name, refusal)
             exchange.refuse(refusal, caller.request_id)
--- a/src/cassiaford/instance/_instance.py
+++ b/src/cassiaford/instance/_instance.py
@@ -27,7 +27,7 @@
     ReceiveFilter,
     create_dispatcher,
 )
-from cassiaford.pipeline._settle import Settler
+from cassiaford.pipeline._finalize import RequestFinalizer
 from cassiaford.policy import create_fair_queue, create_placement
 from cassiaford.settings import Settings
 from cassiaford.timeline import HybridClock, Journal
@@ -128,7 +128,7 @@
     def abort_drain(self) -> None:
         """End the wait of a graceful shutdown, cutting what still runs."""
         self.stopping.set()
-        self.dispatcher.end_drain()
+        self.dispatcher.abort_drain()
 
     def stop(self) -> None:
         """Stop all parts; what is still running is cut.
@@ -229,8 +229,8 @@
 
     def _create_front(self):
         settings = self.settings
-        settler = Settler(
-            self.limiter, self.metrics, self.journal, self.crashes.completed
+        settler = RequestFinalizer(
+            self.limiter, self.metrics, self.journal, self.crashes.record_completion
         )
         authenticate = AuthenticateFilter(self._current, self._is_fresh)
         local = LocalEndpoints(
--- a/src/cassiaford/pipeline/__init__.py
+++ b/src/cassiaford/pipeline/__init__.py
@@ -1,17 +1,9 @@
-"""The way of a request: receive, authenticate, admit, claim, place, forward,
-relay, settle.
-"""
+"""Request processing: receive, authenticate, admit, dispatch, relay, finalize."""
 
 from cassiaford.pipeline._admit import (
     AdmitFilter,
     Limiter,
 )
-from cassiaford.pipeline._answers import (
-    http_head,
-    refusal_body,
-    refusal_headers,
-    refusal_response,
-)
 from cassiaford.pipeline._authenticate import (
     AuthenticateFilter,
 )
@@ -23,6 +15,12 @@
     Filter,
     run_filters,
 )
+from cassiaford.pipeline._http_responses import (
+    http_head,
+    refusal_body,
+    refusal_headers,
+    refusal_response,
+)
 from cassiaford.pipeline._messages import (
     AdmittedRequest,
     AuthenticatedRequest,
--- a/src/cassiaford/pipeline/_admit.py
+++ b/src/cassiaford/pipeline/_admit.py
@@ -1,4 +1,4 @@
-"""Admit: is the request sound, permitted, and within its customer's rate."""
+"""Admission: checks a request's validity, permissions and customer rate."""
 
 import math
 from abc import ABC, abstractmethod
@@ -12,7 +12,7 @@
     AuthenticatedRequest,
     ServiceClass,
 )
-from cassiaford.pipeline._model_call import read_model_call, service_class_of
+from cassiaford.pipeline._model_call import parse_model_call, service_class_of
 from cassiaford.settings import LimitSettings
 from cassiaford.verdict import Refusal
 
@@ -20,19 +20,19 @@
 
 
 class Limiter(ABC):
-    """Counts tokens against customers' rates and bursts over the fleet."""
+    """Enforces customers' token rates and bursts across the fleet."""
 
     @abstractmethod
     def charge(self, customer: Customer, tokens: int) -> Refusal | None:
-        """Charge tokens; return a refusal if the customer has not got them."""
+        """Charge tokens; return a refusal if the customer has too few available."""
 
     @abstractmethod
     def refund(self, customer_name: str, tokens: int) -> None:
-        """Give back tokens that were charged and not used."""
+        """Return tokens that were charged but not used."""
 
 
 class AdmitFilter(Filter[AuthenticatedRequest, AdmittedRequest]):
-    """Charges a request's prompt and permitted output to its customer."""
+    """Charges the prompt and the maximum output of a request to its customer."""
 
     def __init__(
         self,
@@ -47,16 +47,16 @@
     def process(self, message: AuthenticatedRequest) -> AdmittedRequest | Refusal:
         """Return the admitted request, or a refusal."""
         if message.route is None:
-            admitted = self._read_model_call(message)
+            admitted = self._admit_model_call(message)
         else:
-            admitted = self._read_service_call(message)
+            admitted = self._admit_service_call(message)
         if isinstance(admitted, Refusal) or message.customer is None:
             return admitted
         refusal = self.limiter.charge(message.customer, admitted.charged_tokens)
         return refusal or admitted
 
-    def _read_model_call(self, message):
-        call = read_model_call(message.caller, message.customer, self.configuration())
+    def _admit_model_call(self, message):
+        call = parse_model_call(message.caller, message.customer, self.configuration())
         if isinstance(call, Refusal):
             return call
         service_class = service_class_of(call)
@@ -69,7 +69,7 @@
             call=call,
         )
 
-    def _read_service_call(self, message):
+    def _admit_service_call(self, message):
         tokens = max(1, math.ceil(len(message.caller.body) / BYTES_PER_TOKEN))
         return AdmittedRequest(
             authenticated=message,
--- a/src/cassiaford/pipeline/_authenticate.py
+++ b/src/cassiaford/pipeline/_authenticate.py
@@ -1,4 +1,4 @@
-"""Authenticate: which customer a request is for, and where it leads."""
+"""Authentication: finds the customer and the route of a request."""
 
 from collections.abc import Callable
 
@@ -12,12 +12,12 @@
 
 
 class AuthenticateFilter(Filter[CallerRequest, AuthenticatedRequest]):
-    """Finds the customer by the key, in the configuration now in force.
+    """Finds the customer of a key in the current configuration.
 
     The configuration is read for each request, so that a withdrawn key stops
-    working on a kept connection too. `is_fresh` says whether a withdrawal
-    would have reached this instance; where it would not, requests that need
-    a key are refused.
+    working on persistent connections too. `is_fresh` returns whether this
+    instance would have received a recent withdrawal; if not, requests that
+    need a key are refused.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         return AuthenticatedRequest(message, customer, configuration.revision, route)
 
     def find_customer(self, message, configuration):
-        """Return the customer whose key came with a request, or a refusal."""
+        """Return the customer whose key a request carries, or a refusal."""
         if not message.key:
             return refuse(
                 RefusalReason.MISSING_KEY,
@@ -55,12 +55,15 @@
         if not self.is_fresh():
             return refuse(
                 RefusalReason.CONFIGURATION_STALE,
-                "this instance cannot tell whether keys were withdrawn",
+                "the configuration of this instance may be out of date;"
+                " it cannot tell whether the key was withdrawn",
                 STALE_RETRY_AFTER_S,
             )
         customer = find_customer(configuration, message.key)
         if customer is None:
-            return refuse(RefusalReason.INVALID_KEY, "the key is not granted")
+            return refuse(
+                RefusalReason.INVALID_KEY, "the API key is unknown or was withdrawn"
+            )
         return customer
 
     def _authenticate_model_call(self, message, configuration):
--- a/src/cassiaford/pipeline/_background.py
+++ b/src/cassiaford/pipeline/_background.py
@@ -1,31 +1,31 @@
-"""Calls that follow the end of a request, on threads of their own.
+"""Calls made after a request has ended, on separate thread pools.
 
-Neither the event loop nor a dispatch thread waits for them.
+They block neither the event loop nor a dispatch thread.
 """
 
 import contextlib
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from cassiaford.pipeline._answers import refusal_response
 from cassiaford.pipeline._forward import cancel_request
+from cassiaford.pipeline._http_responses import refusal_response
 from cassiaford.pipeline._job import Job
 from cassiaford.pipeline._messages import AdmittedRequest, Outcome
 from cassiaford.verdict import Refusal
 
-SETTLE_THREADS = 4
+OUTCOME_THREADS = 4
 CANCEL_THREADS = 2
-# Cancellations in waiting beyond this are dropped: the server will see that
-# its connection is closed.
-MAX_WAITING_CANCELS = 256
+# Cancellations beyond this number are dropped: the server sees that its
+# connection was closed.
+MAX_PENDING_CANCELS = 256
 
-OnSettled = Callable[[AdmittedRequest, Outcome], None]
+OutcomeCallback = Callable[[AdmittedRequest, Outcome], None]
 
 
 class BackgroundCalls:
-    """Reports outcomes, and cancels work at engines.
+    """Reports outcomes and cancels requests at engines.
 
-    `report_fault` takes the errors that a callback raises.
+    `report_fault` is called with each exception that an outcome callback raises.
     """
 
     def __init__(
@@ -37,47 +37,49 @@
         self.credential = credential
         self.timeout_s = timeout_s
         self.report_fault = report_fault
-        self.settlers = ThreadPoolExecutor(SETTLE_THREADS, "settle")
-        self.cancellers = ThreadPoolExecutor(CANCEL_THREADS, "cancel")
-        self.waiting_cancels = 0
+        self.outcome_executor = ThreadPoolExecutor(OUTCOME_THREADS, "settle")
+        self.cancel_executor = ThreadPoolExecutor(CANCEL_THREADS, "cancel")
+        self.pending_cancels = 0
 
-    def settle(
-        self, request: AdmittedRequest, on_settled: OnSettled, outcome: Outcome
+    def report_outcome(
+        self, request: AdmittedRequest, on_finished: OutcomeCallback, outcome: Outcome
     ) -> None:
-        """Report an outcome, soon."""
-        self.settlers.submit(self.settle_now, request, on_settled, outcome)
+        """Report an outcome on a background thread."""
+        self.outcome_executor.submit(
+            self.report_outcome_now, request, on_finished, outcome
+        )
 
-    def settle_now(
-        self, request: AdmittedRequest, on_settled: OnSettled, outcome: Outcome
+    def report_outcome_now(
+        self, request: AdmittedRequest, on_finished: OutcomeCallback, outcome: Outcome
     ) -> None:
-        """Report an outcome on this thread."""
+        """Report an outcome on the calling thread."""
         try:
-            on_settled(request, outcome)
+            on_finished(request, outcome)
         except Exception as error:
             self.report_fault(error)
 
     def refuse(self, job: Job, refusal: Refusal) -> None:
-        """Answer a job that comes when the event loop does not run."""
+        """Refuse a job that was submitted while the event loop is not running."""
         with contextlib.suppress(OSError):
             job.caller.send(refusal_response(refusal, job.request.request_id))
         job.caller.close()
         outcome = Outcome(refusal.verdict, refusal.reason.status, refusal=refusal)
-        self.settle_now(job.request, job.on_settled, outcome)
+        self.report_outcome_now(job.request, job.on_finished, outcome)
 
     def cancel(self, address: str, request_id: str) -> None:
-        """Cancel a request at an engine, soon, unless too many wait."""
-        if self.waiting_cancels >= MAX_WAITING_CANCELS:
+        """Cancel a request at an engine in the background, unless too many wait."""
+        if self.pending_cancels >= MAX_PENDING_CANCELS:
             return
-        self.waiting_cancels += 1
-        self.cancellers.submit(self._cancel, address, request_id)
+        self.pending_cancels += 1
+        self.cancel_executor.submit(self._cancel, address, request_id)
 
     def stop(self) -> None:
-        """Finish the reports and drop the cancellations that wait."""
-        self.settlers.shutdown()
-        self.cancellers.shutdown(cancel_futures=True)
+        """Finish all reports and drop the cancellations not yet sent."""
+        self.outcome_executor.shutdown()
+        self.cancel_executor.shutdown(cancel_futures=True)
 
     def _cancel(self, address, request_id):
         try:
             cancel_request(address, request_id, self.credential, self.timeout_s)
         finally:
-            self.waiting_cancels -= 1
+            self.pending_cancels -= 1
--- a/src/cassiaford/pipeline/_body.py
+++ b/src/cassiaford/pipeline/_body.py
@@ -1,4 +1,4 @@
-"""Passing an answer's body on to its caller."""
+"""Relaying of response bodies to callers."""
 
 import json
 from abc import ABC, abstractmethod
@@ -8,102 +8,108 @@
 from cassiaford.pipeline._caller import CallerConnection
 from cassiaford.pipeline._events import (
     PLAIN_EVENT,
-    event_text,
-    read_event,
-    read_usage,
+    comparable_content,
+    parse_event,
+    parse_usage,
 )
 from cassiaford.pipeline._job import Job
 from cassiaford.pipeline._messages import Usage
-from cassiaford.pipeline._response import BODILESS_STATUSES, AnswerHead
+from cassiaford.pipeline._response import BODILESS_STATUSES, ResponseHead
 from cassiaford.policy import Failure
 
-# An answer up to this size is held until it is whole, so that a broken one can
-# still be refused or fetched again.
-MAX_HELD_BYTES = 256 * 1024
+# A response up to this size is buffered until it is complete, so that a
+# truncated one can still be refused or retried.
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class BodyRelay(ABC):
-    """Passes the body of one answer on.
+    """Relays the body of one response to the caller.
 
-    `feed` and `end` return the failure that the bytes amount to, or None.
-    `begin` is called once before the first byte goes to the caller; it
-    returns the head to be written with it.
+    `feed` and `end` return the failure that the body shows, or None.
+    `start_response` is called once, before the first byte is sent to the
+    caller; it returns the head to write before that byte.
     """
 
     def __init__(
         self,
         caller: CallerConnection,
-        begin: Callable[[int | None], bytes],
+        start_response: Callable[[int | None], bytes],
         job: Job,
     ):
         self.caller = caller
-        self.begin = begin
-        self.copy = job.copy
+        self.start_response = start_response
+        self.copy = job.response_copy
         self.usage: Usage | None = None
 
     @abstractmethod
     def feed(self, data: bytes) -> Failure | None:
-        """Take a part of the body."""
+        """Process a part of the body."""
 
     @abstractmethod
     def end(self) -> Failure | None:
-        """Take note that the body is complete; end the caller's answer."""
+        """Process the end of the body and complete the caller's response."""
 
     def send(self, data: bytes, length: int | None = None) -> None:
-        """Write bytes, after the head if it is not yet written."""
-        if self.copy.keeps:
+        """Write bytes to the caller, preceded by the head if it was not sent yet."""
+        if self.copy.enabled:
             self.copy.add(data)
-        head = b"" if self.caller.started else self.begin(length)
+        head = b"" if self.caller.response_started else self.start_response(length)
         self.caller.write(data, head)
 
 
 class PlainBodyRelay(BodyRelay):
-    """Passes bytes on as they come, or holds a short answer until it is whole."""
+    """Relays bytes as they arrive, or buffers a short response until it is complete."""
 
     def __init__(
-        self, caller, begin, job, head: AnswerHead, holds: bool, reads_usage: bool
+        self,
+        caller,
+        start_response,
+        job,
+        head: ResponseHead,
+        buffering: bool,
+        reads_usage: bool,
     ):
-        super().__init__(caller, begin, job)
+        super().__init__(caller, start_response, job)
         self.length = head.length
-        self.holds = holds
+        self.buffering = buffering
         self.reads_usage = reads_usage
-        self.held = []
-        self.held_bytes = 0
+        self.buffered = []
+        self.buffered_bytes = 0
 
     def feed(self, data: bytes) -> Failure | None:
-        """Pass a part on, or hold it."""
-        if not self.holds:
+        """Relay or buffer a part of the body."""
+        if not self.buffering:
             self.send(data, self.length)
             return None
-        self.held.append(data)
-        self.held_bytes += len(data)
-        if self.held_bytes > MAX_HELD_BYTES:
-            self.holds = False
-            self.send(b"".join(self.held), self.length)
-            self.held.clear()
+        self.buffered.append(data)
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes > MAX_BUFFERED_BYTES:
+            self.buffering = False
+            self.send(b"".join(self.buffered), self.length)
+            self.buffered.clear()
         return None
 
     def end(self) -> Failure | None:
-        """Send what is held and end the answer."""
-        if self.holds:
-            body = b"".join(self.held)
-            self.usage = _usage_in(body) if self.reads_usage else None
+        """Send the buffered body and complete the response."""
+        if self.buffering:
+            body = b"".join(self.buffered)
+            self.usage = _parse_body_usage(body) if self.reads_usage else None
             self.send(body, len(body))
-        elif not self.caller.started:
+        elif not self.caller.response_started:
             self.send(b"", self.length)
         self.caller.finish()
         return None
 
 
 class BodilessRelay(BodyRelay):
-    """Passes an answer on that has a head only."""
+    """Relays a response without a body."""
 
-    def __init__(self, caller, begin, job, head: AnswerHead):
-        super().__init__(caller, begin, job)
+    def __init__(self, caller, start_response, job, head: ResponseHead):
+        super().__init__(caller, start_response, job)
         self.length = head.length
 
     def feed(self, data: bytes) -> Failure | None:
-        """Refuse a body where there can be none."""
+        """Report a failure: this response must not have a body."""
         return Failure.INVALID_RESPONSE
 
     def end(self) -> Failure | None:
@@ -114,14 +120,14 @@
 
 
 class EventStreamRelay(BodyRelay):
-    """Passes whole events of a model's stream on.
+    """Relays complete events of a model's stream.
 
-    With `replay`, the answer begins the stream anew on another server: its
-    first events must equal those that the caller has, and are not sent again.
+    With `replay`, the response restarts the stream on another server: its
+    first events must equal those already sent to the caller, and are skipped.
     """
 
-    def __init__(self, caller, begin, job, replay: bool):
-        super().__init__(caller, begin, job)
+    def __init__(self, caller, start_response, job, replay: bool):
+        super().__init__(caller, start_response, job)
         self.progress = job.progress
         self.hides_usage = job.upstream.hides_usage
         self.splitter = EventSplitter()
@@ -129,85 +135,87 @@
         self.expected.reverse()
 
     def feed(self, data: bytes) -> Failure | None:
-        """Pass on the events that are whole now."""
-        passed = []
+        """Relay the events that are complete."""
+        forwarded = []
         for event in self.splitter.feed(data):
             if self.expected:
-                if not self._replays(event):
+                if not self._matches_replay(event):
                     return Failure.DIVERGED
-            elif self._shows(event):
-                passed.append(event)
-        if passed:
-            self.send(passed[0] if len(passed) == 1 else b"".join(passed))
+            elif self._record_event(event):
+                forwarded.append(event)
+        if forwarded:
+            self.send(forwarded[0] if len(forwarded) == 1 else b"".join(forwarded))
         return None
 
     def end(self) -> Failure | None:
-        """End the caller's stream, if this one has come to its own end."""
+        """Complete the caller's stream if the server's stream is complete."""
         if not self.progress.complete or self.expected:
             return Failure.TRUNCATED_RESPONSE
         self.usage = self.progress.usage
         self.caller.finish()
         return None
 
-    def _replays(self, event):
-        if not read_event(event).counts:
+    def _matches_replay(self, event):
+        if not parse_event(event).has_data:
             return True
-        return event_text(event) == event_text(self.expected.pop())
+        return comparable_content(event) == comparable_content(self.expected.pop())
 
-    def _shows(self, event):
-        facts = read_event(event)
+    def _record_event(self, event):
+        metadata = parse_event(event)
         progress = self.progress
-        if facts is PLAIN_EVENT:
+        if metadata is PLAIN_EVENT:
             progress.add(event)
             return True
-        if facts.counts:
+        if metadata.has_data:
             progress.add(event)
-        progress.usage = facts.usage or progress.usage
-        progress.finished |= facts.finished
-        progress.done |= facts.done
-        progress.failed |= facts.failed
-        return not (facts.only_usage and self.hides_usage)
+        progress.usage = metadata.usage or progress.usage
+        progress.finished |= metadata.finished
+        progress.done |= metadata.done
+        progress.failed |= metadata.failed
+        return not (metadata.only_usage and self.hides_usage)
 
 
-def create_body(
+def create_body_relay(
     job: Job,
     caller: CallerConnection,
-    begin: Callable[[int | None], bytes],
-    head: AnswerHead,
+    start_response: Callable[[int | None], bytes],
+    head: ResponseHead,
 ) -> BodyRelay | None:
-    """Return the relay for an answer with this head.
+    """Return the relay for a response with this head.
 
-    None means that the answer begins a stream anew of which the caller has a
-    part that it cannot be compared with.
+    Return None if the response restarts a stream whose events, already sent to
+    the caller, were not kept for comparison.
     """
     call = job.request.call
     if job.upstream.method == "HEAD" or head.status in BODILESS_STATUSES:
-        return BodilessRelay(caller, begin, job, head)
+        return BodilessRelay(caller, start_response, job, head)
     if call is not None and call.streaming and head.is_event_stream:
-        return _stream_relay(job, caller, begin, head)
-    holds = call is not None or head.length is not None
-    return PlainBodyRelay(caller, begin, job, head, holds, call is not None)
+        return _stream_relay(job, caller, start_response, head)
+    buffering = call is not None or head.length is not None
+    return PlainBodyRelay(
+        caller, start_response, job, head, buffering, call is not None
+    )
 
 
-def _stream_relay(job, caller, begin, head):
-    replay = job.progress.received > 0 and not _resumed(job, head)
+def _stream_relay(job, caller, start_response, head):
+    replay = job.progress.received > 0 and not _is_resumed(job, head)
     if replay and not job.progress.history:
         return None
-    return EventStreamRelay(caller, begin, job, replay)
+    return EventStreamRelay(caller, start_response, job, replay)
 
 
-def _resumed(job, head):
-    """Return whether the server goes on where the stream broke off.
+def _is_resumed(job, head):
+    """Return whether the server resumes the stream at the requested offset.
 
-    A server that does not know the header for it starts from the beginning,
-    and does not name the offset in its answer.
+    A server that does not support the header starts from the beginning and
+    does not return the offset in its response.
     """
     offset = job.resume_at
     return offset is not None and head.header("x-resume-offset") == str(offset)
 
 
-def _usage_in(body):
+def _parse_body_usage(body):
     try:
-        return read_usage(json.loads(body))
+        return parse_usage(json.loads(body))
     except ValueError:
         return None
--- a/src/cassiaford/pipeline/_caller.py
+++ b/src/cassiaford/pipeline/_caller.py
@@ -1,83 +1,83 @@
-"""The connection to a caller: it may be slow, and may close at any moment."""
+"""The connection to a caller, which may read slowly or close at any time."""
 
 import asyncio
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from cassiaford.pipeline._answers import http_head
+from cassiaford.pipeline._http_responses import http_head
 from cassiaford.pipeline._messages import Header
 
-# Reading from the backend server pauses while more than this waits for a
+# Reading from the backend server pauses while more than this is buffered for a
 # slow caller.
 WRITE_BUFFER_BYTES = 64 * 1024
 
 
 class CallerListener(ABC):
-    """Hears of what a caller does."""
+    """Receives the events of a caller's connection."""
 
     @abstractmethod
-    def caller_left(self) -> None:
-        """Take note that the caller closed before its answer was complete."""
+    def on_caller_left(self) -> None:
+        """Handle a caller that disconnected before its response was complete."""
 
     @abstractmethod
-    def caller_closed(self) -> None:
-        """Take note that the connection is closed, for whatever reason."""
+    def on_caller_closed(self) -> None:
+        """Handle the loss of the connection, whatever its cause."""
 
     @abstractmethod
-    def caller_slow(self, slow: bool) -> None:
-        """Take note that the caller reads slower than its answer comes."""
+    def on_caller_slow(self, slow: bool) -> None:
+        """Handle a full write buffer, or with `slow` false, one with room again."""
 
 
 class CallerConnection(asyncio.Protocol):
-    """Writes one answer to a caller and closes.
+    """Writes one response to a caller and closes the connection.
 
-    A caller that closes its sending side counts as gone: an HTTP client that
-    still wants its answer keeps the connection whole.
+    A caller that closes its sending side counts as disconnected: an HTTP
+    client that still waits for its response keeps both directions open.
     """
 
     def __init__(self, listener: CallerListener):
         self.listener = listener
         self.transport = None
-        self.started = False
+        self.response_started = False
         self.finished = False
         self.chunked = False
-        self.slow = False
+        self.write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and bound its buffer."""
+        """Store the transport and limit its write buffer."""
         self.transport = transport
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     def data_received(self, data: bytes) -> None:
-        """Drop whatever comes after the request: one answer, then the end."""
+        """Ignore further input: a connection carries one request only."""
 
     def eof_received(self) -> None:
-        """Take a caller that sends no more for one that has left."""
+        """Treat the end of input as a disconnection."""
         self._left()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the listener, whose answer may be incomplete."""
+        """Report the loss of the connection to the listener."""
         self._left()
-        self.listener.caller_closed()
+        self.listener.on_caller_closed()
 
     def pause_writing(self) -> None:
-        """Tell the listener that the buffer is full."""
-        self.slow = True
-        self.listener.caller_slow(True)
+        """Report to the listener that the write buffer is full."""
+        self.write_paused = True
+        self.listener.on_caller_slow(True)
 
     def resume_writing(self) -> None:
-        """Tell the listener that the buffer has room."""
-        self.slow = False
-        self.listener.caller_slow(False)
+        """Report to the listener that the write buffer has room again."""
+        self.write_paused = False
+        self.listener.on_caller_slow(False)
 
-    def start(
+    def start_response(
         self, status: int, headers: Sequence[Header], length: int | None, body: bool
     ) -> bytes:
-        """Return the head to be written before, or with, the first bytes.
+        """Return the response head, to be written with the first bytes.
 
-        Without a length, a body is sent in chunks.
+        Without a length, a body is sent with chunked transfer encoding.
         """
-        self.started = True
+        self.response_started = True
         self.chunked = body and length is None
         framing = [Header("Connection", "close")]
         if length is not None:
@@ -87,7 +87,7 @@
         return http_head(status, (*headers, *framing))
 
     def write(self, data: bytes, head: bytes = b"") -> None:
-        """Write a part of the body, the head before it."""
+        """Write a part of the body, preceded by the head if one is given."""
         if self.finished or self.transport.is_closing():
             return
         if self.chunked and data:
@@ -98,31 +98,31 @@
             self.transport.write(data)
 
     def write_raw(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write bytes without any framing."""
         if data and not self.finished:
             self.transport.write(data)
 
     def finish(self) -> None:
-        """End the answer; it is complete."""
+        """Complete the response and close the connection."""
         if self.finished:
             return
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
-        self.cut()
+        self.close()
 
-    def cut(self) -> None:
-        """Close after what is written, without ending the answer's framing."""
+    def close(self) -> None:
+        """Close once all is written, without a final chunk."""
         if not self.finished:
             self.finished = True
             self.transport.close()
 
     @property
-    def unread_bytes(self) -> int:
-        """The bytes that still wait to be sent."""
+    def unsent_bytes(self) -> int:
+        """The number of bytes in the write buffer."""
         return self.transport.get_write_buffer_size() if self.transport else 0
 
     def abort(self) -> None:
-        """Close at once and drop what is not yet written."""
+        """Close immediately and drop the write buffer."""
         self.finished = True
         if self.transport is not None:
             self.transport.abort()
@@ -130,4 +130,4 @@
     def _left(self):
         if not self.finished:
             self.finished = True
-            self.listener.caller_left()
+            self.listener.on_caller_left()
--- a/src/cassiaford/pipeline/_dispatch.py
+++ b/src/cassiaford/pipeline/_dispatch.py
@@ -1,8 +1,8 @@
-"""The dispatcher: from an admitted request to its answer.
+"""The dispatcher, which takes an admitted request to its complete response.
 
-A few threads place requests and send them up to the end of their body; the
-answers belong to the event loop of the relay. So no thread waits for an
-engine to compute, or for a caller to read.
+A few threads place requests and send them to backend servers; the event loop of
+the relay handles the responses. No thread blocks while an engine computes or a
+caller reads.
 """
 
 import contextlib
@@ -25,7 +25,7 @@
 from cassiaford.pipeline._relay import Relay
 from cassiaford.pipeline._suspects import SuspectPolicy
 from cassiaford.pipeline._upstream import upstream_request
-from cassiaford.pipeline._versions import ServedVersions, scoped_upstream
+from cassiaford.pipeline._versions import ServedVersions, upstream_for_server
 from cassiaford.pipeline._waiting import WaitingJobs
 from cassiaford.policy import (
     Failure,
@@ -39,21 +39,21 @@
 from cassiaford.verdict import Refusal, Verdict
 
 DISPATCH_THREADS = 8
-# Waiting requests are looked at this often even if nothing has changed.
-QUEUE_INTERVAL_S = 0.05
-# A cut is one turn of the event loop.
-CUT_TIMEOUT_S = 5.0
-# The outcome of a request whose caller was gone before it was submitted.
-UNSEEN = Outcome(Verdict.NOT_RUN, 0)
+# The queue is rechecked this often even if no event has woken a thread.
+QUEUE_CHECK_INTERVAL_S = 0.05
+# An abort takes one iteration of the event loop.
+ABORT_TIMEOUT_S = 5.0
+# The outcome of a request whose caller disconnected before it was submitted.
+ABANDONED_OUTCOME = Outcome(Verdict.NOT_RUN, 0)
 
 
 class Dispatcher(ExchangeOwner):
-    """Places, sends and relays admitted requests.
+    """Places and sends admitted requests and relays their responses.
 
     Examples
     --------
     >>> dispatcher.start()  # doctest: +SKIP
-    >>> dispatcher.submit(admitted, caller_socket, settle)  # doctest: +SKIP
+    >>> dispatcher.submit(admitted, caller_socket, on_finished)  # doctest: +SKIP
     >>> dispatcher.drain(60.0)  # doctest: +SKIP
     0
     """
@@ -84,17 +84,17 @@
         self.health = self.waiting.health
         self.jobs = set()
         self.running = False
-        self.cutting = False
+        self.drain_aborted = False
         self.relay = Relay(self, exchange_limits(settings))
         self.threads = []
         self.background = BackgroundCalls(
-            credential, settings.connect_timeout_s, self.fault
+            credential, settings.connect_timeout_s, self.record_fault
         )
         self._changed = threading.Condition()
 
     @property
     def in_flight(self) -> int:
-        """The number of submitted requests whose answer is not yet delivered."""
+        """The number of submitted requests whose response is not yet delivered."""
         return len(self.jobs)
 
     def start(self) -> None:
@@ -109,54 +109,56 @@
             thread.start()
 
     def stop(self, timeout_s: float) -> None:
-        """End what is left and stop the threads."""
-        give_up_at = time.monotonic() + timeout_s
+        """Abort the remaining requests and stop the threads."""
+        stop_deadline = time.monotonic() + timeout_s
         with self._changed:
             self.running = False
             self._changed.notify_all()
         if self.relay.thread.is_alive():
             with contextlib.suppress(TimeoutError):
-                self._cut(timeout_s)
+                self._abort_jobs(timeout_s)
         for thread in self.threads:
-            thread.join(max(0.0, give_up_at - time.monotonic()))
-        self.relay.stop(max(0.0, give_up_at - time.monotonic()))
+            thread.join(max(0.0, stop_deadline - time.monotonic()))
+        self.relay.stop(max(0.0, stop_deadline - time.monotonic()))
         self.background.stop()
 
     def drain(self, timeout_s: float) -> int:
-        """Wait until every answer is delivered; return how many were cut."""
+        """Wait until every response is delivered; return how many were aborted."""
         with self._changed:
-            self._changed.wait_for(lambda: not self.jobs or self.cutting, timeout_s)
+            self._changed.wait_for(
+                lambda: not self.jobs or self.drain_aborted, timeout_s
+            )
             if not self.jobs:
                 return 0
-        return self._cut(CUT_TIMEOUT_S)
+        return self._abort_jobs(ABORT_TIMEOUT_S)
 
-    def end_drain(self) -> None:
-        """Have `drain`, running or yet to come, cut at once what is left."""
+    def abort_drain(self) -> None:
+        """Make `drain`, running or yet to come, abort the rest immediately."""
         with self._changed:
-            self.cutting = True
+            self.drain_aborted = True
             self._changed.notify_all()
 
     def submit(
         self,
         request: AdmittedRequest,
         caller: socket.socket,
-        on_settled: Callable[[AdmittedRequest, Outcome], None],
+        on_finished: Callable[[AdmittedRequest, Outcome], None],
     ) -> None:
-        """Take over a request and its caller's socket; never waits.
+        """Take over a request and its caller's socket, without blocking.
 
-        The whole answer is written here, and the socket is closed.
-        `on_settled` is called exactly once, on another thread.
+        The dispatcher writes the whole response and closes the socket.
+        `on_finished` is called exactly once, on another thread.
         """
         if caller.fileno() < 0:
-            self.background.settle(request, on_settled, UNSEEN)
+            self.background.report_outcome(request, on_finished, ABANDONED_OUTCOME)
             return
         received_at = request.authenticated.caller.received_at
         job = Job(
             request=request,
             upstream=upstream_request(request, self.credential),
             caller=caller,
-            on_settled=on_settled,
-            give_up_at=received_at + self.settings.request_timeout_s,
+            on_finished=on_finished,
+            request_deadline=received_at + self.settings.request_timeout_s,
         )
         caller.setblocking(False)
         refusal = self._refuse_suspect(request)
@@ -178,7 +180,7 @@
             self._changed.notify()
 
     def observe_peer_prompt(self, server: str, tokens: int) -> None:
-        """Tell placement of prompt tokens that a peer sent to a server."""
+        """Record prompt tokens that a peer reported as sent to a server."""
         with self._changed:
             self.placement.record_peer_start(server, tokens, self.clock())
 
@@ -188,54 +190,54 @@
             self.placement.observe_events(server, events, self.clock())
 
     def forget(self, server: str) -> None:
-        """Drop every belief about a server that left or came back empty."""
+        """Discard the state of a server that left or restarted."""
         with self._changed:
             self.placement.remove_server(server)
             self.health.remove_server(server)
 
-    # What exchanges ask and tell; called in the event loop.
+    # The methods of ExchangeOwner, called in the event loop.
 
     def decide_retry(self, job: Job) -> RetryDecision:
-        """Ask the retry budget for another attempt."""
+        """Return whether the retry budget allows another attempt."""
         with self._changed:
-            return self.waiting.budget.decide(job.after_failure(), self.clock())
+            return self.waiting.budget.decide(job.failed_request(), self.clock())
 
     def requeue(self, job: Job) -> Refusal | None:
-        """Send a job again, before those that wait for their first attempt."""
+        """Queue a job again, ahead of those that wait for their first attempt."""
         event = Event.REQUEST_RETRIED if job.resume_at is None else Event.STREAM_RESUMED
         self.journal.record(event, self._subject(job), attempts=job.attempts)
         with self._changed:
             refusal = self._refuse_suspect(job.request)
             if refusal is None:
-                refusal = self.waiting.offer_again(job, self.clock())
+                refusal = self.waiting.offer_resent(job, self.clock())
             self._changed.notify()
         return refusal
 
-    def server_failed(self, job: Job, failure: Failure) -> None:
-        """Suspect the server if the failure is one of its connection."""
+    def record_server_failure(self, job: Job, failure: Failure) -> None:
+        """Mark the server as suspected if its connection failed."""
         server = job.server
         if server is None:
             return
-        if self.suspects is not None and job.tells_of_crash(failure):
-            self.suspects.crashed(job.request, server.name)
+        if self.suspects is not None and job.indicates_crash(failure):
+            self.suspects.record_crash(job.request, server.name)
         if not failure.suspects_server:
             return
         with self._changed:
             now = self.clock()
-            news = not self.health.suspected(server.name, now)
+            newly_suspected = not self.health.suspected(server.name, now)
             self.health.record_failure(server.name, now)
-        if news:
+        if newly_suspected:
             self.journal.record(
                 Event.SERVER_SUSPECTED, self._subject(job), failure=failure.text
             )
 
-    def server_left(self, job: Job, answered: bool) -> None:
-        """Free the job's place on its server."""
+    def release_server(self, job: Job, answered: bool) -> None:
+        """Free the slot that the job occupied on its server."""
         server = job.server
         if server is None:
             return
         if self.suspects is not None:
-            self.suspects.left(job.request, server.name)
+            self.suspects.record_end(job.request, server.name)
         with self._changed:
             self.health.record_end(server.name)
             if answered:
@@ -243,40 +245,40 @@
             self.placement.record_end(job.request.request_id, self.clock())
             self._changed.notify()
 
-    def hold_server(self, job: Job, wait_s: float) -> None:
-        """Give the job's server no new work for a while."""
+    def back_off_server(self, job: Job, wait_s: float) -> None:
+        """Send the job's server no new requests for a while."""
         with self._changed:
             self.health.back_off(job.server.name, wait_s, self.clock())
 
     def cancel(self, job: Job) -> None:
-        """Cancel a model request at its engine, on another thread."""
+        """Cancel a model request at its engine in the background."""
         server = job.server
         if job.request.call is None or server is None:
             return
         self.background.cancel(server.address, job.request.request_id)
 
-    def first_byte(self, job: Job) -> None:
-        """Tell placement that the prompt has been computed."""
+    def record_first_byte(self, job: Job) -> None:
+        """Record with the placement policy that prefill has finished."""
         with self._changed:
             self.placement.record_first_token(job.request.request_id, self.clock())
 
-    def settled(self, job: Job, outcome: Outcome) -> None:
-        """Report the outcome, on another thread."""
-        self.background.settle(job.request, job.on_settled, outcome)
+    def record_outcome(self, job: Job, outcome: Outcome) -> None:
+        """Report the outcome on a background thread."""
+        self.background.report_outcome(job.request, job.on_finished, outcome)
 
-    def caller_left(self, job: Job) -> None:
-        """Record that the caller left before its answer was complete."""
+    def record_caller_left(self, job: Job) -> None:
+        """Record that the caller disconnected before its response was complete."""
         self.journal.record(Event.CALLER_LEFT, self._subject(job))
 
-    def over(self, job: Job) -> None:
-        """Forget a job that is settled and whose caller is gone."""
-        self.relay.forget(job)
+    def remove_job(self, job: Job) -> None:
+        """Remove a finalized job whose caller's connection is closed."""
+        self.relay.remove(job)
         with self._changed:
             self.jobs.discard(job)
             self._changed.notify_all()
 
-    def fault(self, error: BaseException | None) -> None:
-        """Record an error that nothing was prepared for."""
+    def record_fault(self, error: BaseException | None) -> None:
+        """Record an unexpected error."""
         self.journal.record(Event.BACKGROUND_TASK_FAILED, error=type(error).__name__)
 
     # Dispatch threads.
@@ -287,16 +289,16 @@
                 with self._changed:
                     job = self._next_job()
             except Exception as error:
-                # The job stays where it is and is refused at its deadline.
-                self.fault(error)
-                time.sleep(QUEUE_INTERVAL_S)
+                # The job stays in the queue and is refused at its deadline.
+                self.record_fault(error)
+                time.sleep(QUEUE_CHECK_INTERVAL_S)
                 continue
             if job is None:
                 return
             self._send(job)
 
     def _next_job(self):
-        """Wait for a job that can be sent now; None when stopping."""
+        """Wait for a job that can be sent now; return None when stopping."""
         while self.running:
             now = self.clock()
             for late, refusal in self.waiting.expire(now):
@@ -306,18 +308,18 @@
                 return job
             for waiting in self.waiting.unwatched():
                 self.relay.watch(waiting)
-            self._changed.wait(QUEUE_INTERVAL_S if self.waiting else None)
+            self._changed.wait(QUEUE_CHECK_INTERVAL_S if self.waiting else None)
         return None
 
     def _send(self, job):
-        """Send a job's request; its answer comes in the event loop."""
+        """Send a job's request; the event loop handles the response."""
         if job.abandoned:
             self.relay.drop(job)
             return
         if self.clock() > job.request.start_by:
             self.relay.attempt_failed(job, Failure.START_DEADLINE_PASSED)
             return
-        # Another server may have crashed by it while it waited for its turn.
+        # It may have crashed another server while it waited in the queue.
         refusal = self._refuse_suspect(job.request)
         if refusal is not None:
             self.relay.end(job, refusal)
@@ -326,7 +328,7 @@
         try:
             sock = send_request(
                 job.server.address,
-                scoped_upstream(job, self.versions),
+                upstream_for_server(job, self.versions),
                 job.resume_at,
                 self.settings.connect_timeout_s,
                 self.settings.silence_timeout_s,
@@ -334,15 +336,15 @@
         except ForwardError as error:
             self.relay.attempt_failed(job, error.failure)
         except Exception as error:
-            self.fault(error)
+            self.record_fault(error)
             self.relay.attempt_failed(job, Failure.SEND_FAILED)
         else:
             self.relay.attach(job, sock)
 
-    def _cut(self, timeout_s):
+    def _abort_jobs(self, timeout_s):
         with self._changed:
             jobs = tuple(self.jobs)
-        return self.relay.cut(jobs, timeout_s)
+        return self.relay.abort(jobs, timeout_s)
 
     # Refusals.
 
@@ -371,10 +373,10 @@
 ) -> Dispatcher:
     """Return a dispatcher, not yet started.
 
-    `configuration` returns the configuration in force, `credential` is what
-    the instance presents to backend servers, and `queue` decides in which
-    order waiting requests are sent: by arrival if none is given. `versions`
-    knows which engines serve a model; without it all are taken to.
+    `configuration` returns the current configuration, and `credential` is the
+    bearer token that is sent to backend servers. `queue` orders the waiting
+    requests, by arrival if none is given. `versions` tells which engines serve
+    a model; without it, all of the model's engines are assumed to.
     """
     if queue is None:
         queue = FifoQueue(settings.queue_length, settings.queue_wait_s)
--- a/src/cassiaford/pipeline/_events.py
+++ b/src/cassiaford/pipeline/_events.py
@@ -1,6 +1,6 @@
-"""Reading what matters in a model's server-sent events.
+"""Parsing of a model's server-sent events.
 
-Events pass as they came, byte for byte.
+The events themselves are relayed unchanged, byte for byte.
 """
 
 import json
@@ -16,14 +16,14 @@
 
 
 @dataclass(frozen=True)
-class EventFacts:
-    """What an event says about its stream.
+class EventMetadata:
+    """What an event says about the state of its stream.
 
-    `counts` is false for a comment, which has no data and no place in the
-    offset; `only_usage` marks the extra event that carries usage and no text.
+    `has_data` is false for a comment, which does not count towards the offset;
+    `only_usage` marks the extra event that carries usage and no text.
     """
 
-    counts: bool = True
+    has_data: bool = True
     done: bool = False
     finished: bool = False
     failed: bool = False
@@ -31,14 +31,14 @@
     only_usage: bool = False
 
 
-# What most events say: nothing beside their text.
-PLAIN_EVENT = EventFacts()
-_COMMENT = EventFacts(counts=False)
-_DONE = EventFacts(done=True)
+# Most events carry text only.
+PLAIN_EVENT = EventMetadata()
+_COMMENT = EventMetadata(has_data=False)
+_DONE = EventMetadata(done=True)
 
 
-def read_event(event: bytes) -> EventFacts:
-    """Return what an event of a model's stream says about the stream."""
+def parse_event(event: bytes) -> EventMetadata:
+    """Return the metadata of an event of a model's stream."""
     if not _has_data(event):
         return _COMMENT
     if b"[DONE]" in event[:_DONE_WITHIN]:
@@ -47,14 +47,14 @@
     if b'"usage"' in event and _USAGE.search(event):
         return _usage_event(event, finished)
     if finished:
-        return EventFacts(finished=True)
+        return EventMetadata(finished=True)
     if b'"error"' in event and _ERROR.match(event):
-        return EventFacts(failed=True)
+        return EventMetadata(failed=True)
     return PLAIN_EVENT
 
 
-def read_usage(document: object) -> Usage | None:
-    """Return the usage in an answer's JSON document, if it has one."""
+def parse_usage(document: object) -> Usage | None:
+    """Return the usage in a response's JSON document, or None without one."""
     usage = document.get("usage") if isinstance(document, dict) else None
     if not isinstance(usage, dict):
         return None
@@ -67,11 +67,11 @@
     )
 
 
-def event_text(event: bytes) -> object:
-    """Return what an event adds to the answer, to compare two streams.
+def comparable_content(event: bytes) -> object:
+    """Return the content of an event by which two streams are compared.
 
-    The identifier and the time of creation differ from run to run and do not
-    matter; the choices do. An event without a JSON document stands for itself.
+    The choices are compared; the identifier and the creation time differ from
+    run to run. An event without a JSON document is compared as a whole.
     """
     document = _document(event)
     if not isinstance(document, dict):
@@ -85,9 +85,9 @@
 
 def _usage_event(event, finished):
     document = _document(event)
-    usage = read_usage(document)
+    usage = parse_usage(document)
     only_usage = usage is not None and document.get("choices") == []
-    return EventFacts(finished=finished, usage=usage, only_usage=only_usage)
+    return EventMetadata(finished=finished, usage=usage, only_usage=only_usage)
 
 
 def _document(event):
--- a/src/cassiaford/pipeline/_exchange.py
+++ b/src/cassiaford/pipeline/_exchange.py
@@ -1,4 +1,4 @@
-"""One request in the event loop: its caller, its attempts, its end."""
+"""The handling of one request in the event loop, over all its attempts."""
 
 import asyncio
 import socket
@@ -6,40 +6,40 @@
 import httptools
 
 from cassiaford._event_splitter import EventStreamError
-from cassiaford.pipeline._answer_connection import AnswerConnection, AttemptListener
-from cassiaford.pipeline._answers import (
-    REQUEST_ID_HEADER,
-    VERDICT_HEADER,
-    refusal_body,
-    refusal_response,
-)
 from cassiaford.pipeline._body import (
     BodilessRelay,
     BodyRelay,
     EventStreamRelay,
-    create_body,
+    create_body_relay,
 )
 from cassiaford.pipeline._caller import CallerConnection, CallerListener
+from cassiaford.pipeline._http_responses import (
+    REQUEST_ID_HEADER,
+    VERDICT_HEADER,
+    refusal_body,
+    refusal_response,
+)
 from cassiaford.pipeline._job import Job
 from cassiaford.pipeline._limits import ExchangeLimits
 from cassiaford.pipeline._messages import Header, Outcome
 from cassiaford.pipeline._owner import ExchangeOwner
 from cassiaford.pipeline._recovery import can_replay, can_resume
 from cassiaford.pipeline._refusals import failure_refusal, stopping_refusal
-from cassiaford.pipeline._response import AnswerHead
+from cassiaford.pipeline._response import ResponseHead
+from cassiaford.pipeline._response_connection import AttemptListener, ResponseConnection
 from cassiaford.pipeline._sockets import connect_socket
 from cassiaford.pipeline._statuses import (
-    answer_verdict,
-    refused_attempt,
+    is_mismatched,
+    response_failure,
+    response_verdict,
     retry_after,
-    wrong_request,
 )
 from cassiaford.policy import Failure, RetryDecision
 from cassiaford.verdict import Refusal, Verdict, combine
 
 
 class Exchange(AttemptListener, CallerListener):
-    """Carries one job from its submission to its end; runs in the event loop."""
+    """Handles one job from submission to completion; runs in the event loop."""
 
     def __init__(
         self,
@@ -53,125 +53,127 @@
         self.loop = loop
         self.limits = limits
         self.caller = CallerConnection(self)
-        self.connection: AnswerConnection | None = None
+        self.connection: ResponseConnection | None = None
         self.body: BodyRelay | None = None
         self.status = 0
         self.first_token_s = None
-        self.settled = False
+        self.finalized = False
         self.closed = False
-        self.settled_at = 0.0
-        self.waiting = []
+        self.finalized_at = 0.0
+        self.pending_calls = []
         self.tasks = set()
 
-    # Entry points, each called in the loop on behalf of another thread.
+    # Entry points, called in the event loop on behalf of other threads.
 
     def open(self) -> None:
-        """Begin to watch the caller."""
-        self._adopt(
-            self.job.caller, self.caller, self._run_waiting, self._caller_unusable
+        """Attach the caller's socket to the event loop."""
+        self._add_socket(
+            self.job.caller, self.caller, self._run_pending_calls, self._caller_failed
         )
 
     def attach(self, sock: socket.socket) -> None:
-        """Take the connection on which the current attempt was sent.
+        """Attach the connection on which the current attempt was sent.
 
-        The loop sets up connections in the order in which it got them, so the
-        caller's is there before the first byte of an answer.
+        The loop sets up connections in the order of their creation, so the
+        caller's is ready before the first byte of a response arrives.
         """
         if self.job.abandoned:
             sock.close()
             self.owner.cancel(self.job)
-            self._leave()
+            self._finalize_abandoned()
             return
         method = self.job.upstream.method
-        self.connection = AnswerConnection(self, method, self.owner.clock)
-        self._adopt(sock, self.connection, self._server_ready, self._server_unusable)
+        self.connection = ResponseConnection(self, method, self.owner.clock)
+        self._add_socket(
+            sock, self.connection, self._server_connected, self._server_failed
+        )
 
     def watch(self) -> None:
-        """Do nothing more than `open`: the caller is watched from then on."""
+        """Do nothing: `open`, called before, detects that the caller disconnects."""
 
     def when_open(self, method: str, *arguments: object) -> None:
-        """Call a method as soon as the caller's connection is set up."""
+        """Call a method once the caller's connection is set up."""
         if self.caller.transport is not None or self.closed:
             getattr(self, method)(*arguments)
         else:
-            self.waiting.append((method, arguments))
+            self.pending_calls.append((method, arguments))
 
     def drop(self) -> None:
-        """End a job that was not sent because its caller had left."""
-        self._leave()
+        """Finalize a job that was not sent because its caller disconnected."""
+        self._finalize_abandoned()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal and end."""
+        """Send a refusal and finalize the job."""
         if self.caller.finished:
-            self._leave()
+            self._finalize_abandoned()
             return
         self.status = refusal.reason.status
         response = refusal_response(refusal, self.job.request.request_id)
         self.caller.write_raw(response)
-        self.caller.cut()
-        self._settle(refusal.verdict, refusal)
+        self.caller.close()
+        self._finalize(refusal.verdict, refusal)
 
-    def cut(self) -> bool:
-        """End at once because the process stops; return whether that cut it."""
-        if self.settled:
-            unread = self.caller.unread_bytes
+    def abort(self) -> bool:
+        """Abort because the process stops; return whether the response was cut off."""
+        if self.finalized:
+            unsent = self.caller.unsent_bytes
             self.caller.abort()
-            return unread > 0
+            return unsent > 0
         self._drop_connection(cancel=True)
         verdict = combine([*self.job.verdicts, self._current_verdict()])
         self.job.abandoned = True
         self.when_open("end_with", stopping_refusal(verdict))
         return True
 
-    def sweep(self, now: float) -> None:
-        """Check the time limits."""
-        if self.settled:
-            if now - self.settled_at > self.limits.flush_timeout_s:
+    def check_timeouts(self, now: float) -> None:
+        """Abort or fail whatever has exceeded its time limit."""
+        if self.finalized:
+            if now - self.finalized_at > self.limits.flush_timeout_s:
                 self.caller.abort()
             return
-        if now >= self.job.give_up_at:
-            self._time_out()
+        if now >= self.job.request_deadline:
+            self._fail_on_timeout()
         elif self.connection is not None and not self.connection.paused:
-            self._check_silence(now)
+            self._check_idle_timeout(now)
 
-    # What the caller does.
+    # Events of the caller's connection.
 
-    def caller_left(self) -> None:
-        """Stop the work that nobody waits for."""
+    def on_caller_left(self) -> None:
+        """Cancel the current attempt, whose response nobody waits for."""
         self.job.abandoned = True
-        self.owner.caller_left(self.job)
+        self.owner.record_caller_left(self.job)
         if self.connection is not None:
             self._drop_connection(cancel=True)
-            self._leave()
+            self._finalize_abandoned()
 
-    def caller_closed(self) -> None:
-        """Forget the exchange once it has settled."""
+    def on_caller_closed(self) -> None:
+        """Remove the job if it has been finalized."""
         self.closed = True
-        self._run_waiting()
-        if self.settled:
-            self.owner.over(self.job)
+        self._run_pending_calls()
+        if self.finalized:
+            self.owner.remove_job(self.job)
 
-    def caller_slow(self, slow: bool) -> None:
-        """Read from the server no faster than the caller does."""
+    def on_caller_slow(self, slow: bool) -> None:
+        """Pause reading from the server while the caller's buffer is full."""
         if self.connection is not None:
             self.connection.pause(slow)
 
-    # What the backend server does.
+    # Events of the backend server's connection.
 
-    def answer_head(self, head: AnswerHead) -> None:
-        """Judge the head: a refusal, a wrong answer, or one to pass on."""
-        if wrong_request(head, self.job.request.request_id):
+    def on_response_head(self, head: ResponseHead) -> None:
+        """Start relaying the response, or fail the attempt if the head says so."""
+        if is_mismatched(head, self.job.request.request_id):
             self.attempt_failed(Failure.MISMATCHED_RESPONSE)
             return
         self.job.server_echoes_id |= bool(head.header("x-request-id"))
-        failure = refused_attempt(head, self._continues())
-        if failure is None or self._passes_on(failure):
-            self._begin_answer(head)
+        failure = response_failure(head, self._continues_stream())
+        if failure is None or self._relays_failure(failure):
+            self._start_relay(head)
         else:
             self.attempt_failed(failure, retry_after(head))
 
-    def answer_body(self, data: bytes) -> None:
-        """Pass a part of the body on."""
+    def on_response_body(self, data: bytes) -> None:
+        """Relay a part of the body."""
         received = self.job.progress.received
         failure = self.body.feed(data)
         if self.job.progress.received > received:
@@ -179,8 +181,8 @@
         if failure is not None:
             self.attempt_failed(failure)
 
-    def answer_end(self) -> None:
-        """Settle a complete answer."""
+    def on_response_end(self) -> None:
+        """Complete the response."""
         failure = self.body.end()
         if failure is not None:
             self.attempt_failed(failure)
@@ -190,29 +192,29 @@
     def attempt_failed(
         self, failure: Failure, retry_after_s: float | None = None
     ) -> None:
-        """Resume, retry elsewhere, or tell the caller."""
+        """Resume the stream, retry at another server, or refuse the request."""
         if self.connection is not None and self._only_framing_missing(failure):
             self._complete_without_framing()
             return
         resumes = not self.job.abandoned and can_resume(self.job, self.body, failure)
-        leaves_work = failure.verdict is Verdict.MAY_HAVE_RUN and not resumes
-        self._drop_connection(cancel=leaves_work)
-        self.job.failed(failure)
-        self.owner.server_failed(self.job, failure)
+        may_still_run = failure.verdict is Verdict.MAY_HAVE_RUN and not resumes
+        self._drop_connection(cancel=may_still_run)
+        self.job.record_failure(failure)
+        self.owner.record_server_failure(self.job, failure)
         if retry_after_s is not None and failure is not Failure.OVERLOADED:
-            self.owner.hold_server(self.job, retry_after_s)
+            self.owner.back_off_server(self.job, retry_after_s)
         if self.job.abandoned:
-            self._leave()
+            self._finalize_abandoned()
         elif resumes:
             self._resume()
         else:
-            self._go_elsewhere(failure, retry_after_s)
+            self._retry_or_refuse(failure, retry_after_s)
 
-    def parse_failed(self, error: httptools.HttpParserError) -> None:
-        """Report an error of our own that came out of the parser's callback."""
+    def on_parse_error(self, error: httptools.HttpParserError) -> None:
+        """Record an exception that one of our parser callbacks raised."""
         cause = error.__context__
         if cause is not None and not isinstance(cause, EventStreamError):
-            self.owner.fault(cause)
+            self.owner.record_fault(cause)
 
     # Recovery.
 
@@ -222,15 +224,15 @@
         self.body = None
         self._requeue()
 
-    def _go_elsewhere(self, failure, retry_after_s):
+    def _retry_or_refuse(self, failure, retry_after_s):
         decision = None
         if not failure.is_final and can_replay(
-            self.job, self.body, self.caller.started
+            self.job, self.body, self.caller.response_started
         ):
             decision = self.owner.decide_retry(self.job)
         if decision is RetryDecision.RETRY:
-            self.owner.server_left(self.job, answered=False)
-            self.job.leave_server()
+            self.owner.release_server(self.job, answered=False)
+            self.job.exclude_server()
             self.body = None
             self._requeue()
         else:
@@ -242,21 +244,21 @@
             self.end_with(refusal)
 
     def end_with(self, refusal: Refusal) -> None:
-        """Refuse, or break a begun answer off so that the caller sees it."""
-        if not self.caller.started:
+        """Refuse, or truncate a started response so that the caller detects it."""
+        if not self.caller.response_started:
             self.refuse(refusal)
             return
         if self.job.upstream.streaming and self.caller.chunked:
             error = refusal_body(refusal, self.job.request.request_id)
             self.caller.write(b"data: " + error + b"\n\n")
-        self.caller.cut()
-        self._settle(refusal.verdict, refusal)
+        self.caller.close()
+        self._finalize(refusal.verdict, refusal)
 
-    def _time_out(self):
+    def _fail_on_timeout(self):
         if self.connection is not None:
             self.attempt_failed(Failure.REQUEST_TIMEOUT)
 
-    def _check_silence(self, now):
+    def _check_idle_timeout(self, now):
         connection = self.connection
         if not connection.has_body:
             if now - connection.sent_at > self.limits.first_byte_s(self.job.request):
@@ -264,45 +266,45 @@
         elif now - connection.last_byte_at > self.limits.silence_timeout_s:
             self.attempt_failed(Failure.IDLE_TIMEOUT)
 
-    # The answer.
+    # The response.
 
-    def _continues(self):
-        """Return whether this attempt goes on with an earlier one's stream."""
+    def _continues_stream(self):
+        """Return whether this attempt continues the stream of an earlier one."""
         return self.job.progress.received > 0 or self.job.resume_at is not None
 
-    def _passes_on(self, failure):
-        """Return whether a 503 goes to the caller because no retry is possible."""
-        if failure is not Failure.OVERLOADED or self._continues():
+    def _relays_failure(self, failure):
+        """Return whether a 503 is relayed because the request must not be retried."""
+        if failure is not Failure.OVERLOADED or self._continues_stream():
             return False
         job = self.job
         return not failure.verdict.may_retry(job.request.repeatable)
 
-    def _begin_answer(self, head):
+    def _start_relay(self, head):
         self.status = head.status
-        self.body = create_body(self.job, self.caller, self._begin, head)
+        self.body = create_body_relay(self.job, self.caller, self._start_response, head)
         if self.body is None:
             self.attempt_failed(Failure.DIVERGED)
 
-    def _begin(self, length):
-        """Return the head that the caller gets."""
+    def _start_response(self, length):
+        """Return the response head for the caller."""
         head = self.connection.head
         now = self.owner.clock()
         self.first_token_s = now - self.job.request.authenticated.caller.received_at
-        self.owner.first_byte(self.job)
+        self.owner.record_first_byte(self.job)
         headers = (
-            *head.passed_headers(),
+            *head.forwarded_headers(),
             Header(REQUEST_ID_HEADER, self.job.request.request_id),
         )
-        verdict = answer_verdict(head)
+        verdict = response_verdict(head)
         if verdict is not Verdict.RAN:
             headers = (*headers, Header(VERDICT_HEADER, verdict.value))
         has_body = not isinstance(self.body, BodilessRelay)
-        return self.caller.start(head.status, headers, length, has_body)
+        return self.caller.start_response(head.status, headers, length, has_body)
 
     def _only_framing_missing(self, failure):
-        """Return whether the stream had said that it was done."""
-        started = isinstance(self.body, EventStreamRelay)
-        return started and self.job.progress.done and not failure.is_final
+        """Return whether the stream sent its last event but no final chunk."""
+        is_stream = isinstance(self.body, EventStreamRelay)
+        return is_stream and self.job.progress.done and not failure.is_final
 
     def _complete_without_framing(self):
         if self.body.end() is None:
@@ -311,56 +313,56 @@
     def _complete(self):
         head = self.connection.head
         self._drop_connection(cancel=False)
-        verdict = answer_verdict(head)
+        verdict = response_verdict(head)
         if self.job.progress.failed:
             verdict = Verdict.MAY_HAVE_RUN
-        self.owner.server_left(self.job, answered=True)
+        self.owner.release_server(self.job, answered=True)
         self.job.server = None
-        self._settle(verdict, None, head.header("content-type"))
+        self._finalize(verdict, None, head.header("content-type"))
 
-    # The end.
+    # Completion.
 
-    def _leave(self):
-        """Settle a job whose caller has gone."""
+    def _finalize_abandoned(self):
+        """Finalize a job whose caller has disconnected."""
         verdict = combine([*self.job.verdicts, self._current_verdict()])
-        self._settle(verdict, None)
+        self._finalize(verdict, None)
 
     def _current_verdict(self):
         return Verdict.MAY_HAVE_RUN if self.job.server else Verdict.NOT_RUN
 
-    def _settle(self, verdict, refusal, content_type=""):
-        if self.settled:
+    def _finalize(self, verdict, refusal, content_type=""):
+        if self.finalized:
             return
-        self.settled = True
-        self.settled_at = self.owner.clock()
+        self.finalized = True
+        self.finalized_at = self.owner.clock()
         if self.job.server is not None:
-            self.owner.server_left(self.job, answered=False)
+            self.owner.release_server(self.job, answered=False)
             self.job.server = None
-        self._note_gap()
+        self._record_gap()
         usage = self.body.usage if self.body else None
         outcome = Outcome(
             verdict=verdict,
-            status=self.status if self.caller.started or refusal else 0,
+            status=self.status if self.caller.response_started or refusal else 0,
             servers=tuple(self.job.servers),
             usage=usage or self.job.progress.usage,
             refusal=refusal,
             first_token_s=self.first_token_s,
             timings=self.job.timings,
-            body=self.job.copy.content,
+            body=self.job.response_copy.content,
             content_type=content_type,
         )
-        self.owner.settled(self.job, outcome)
+        self.owner.record_outcome(self.job, outcome)
         if self.closed:
-            self.owner.over(self.job)
+            self.owner.remove_job(self.job)
 
-    def _note_gap(self):
+    def _record_gap(self):
         if self.connection is not None and self.connection.longest_gap_s:
-            self.job.paused_for(self.connection.longest_gap_s)
+            self.job.record_gap(self.connection.longest_gap_s)
 
     def _drop_connection(self, cancel):
         if self.connection is None:
             return
-        self._note_gap()
+        self._record_gap()
         self.connection.close()
         self.connection = None
         if cancel:
@@ -368,29 +370,29 @@
 
     # Sockets.
 
-    def _adopt(self, sock, protocol, ready, failed):
-        """Give a connected socket to the loop."""
+    def _add_socket(self, sock, protocol, ready, failed):
+        """Attach a connected socket to the event loop."""
         task = self.loop.create_task(
             connect_socket(self.loop, sock, protocol, ready, failed)
         )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _server_ready(self):
-        # The caller may have been slow before this connection was there.
+    def _server_connected(self):
+        # The caller's buffer may have filled before this connection was set up.
         if self.connection is not None:
-            self.connection.pause(self.caller.slow)
+            self.connection.pause(self.caller.write_paused)
 
-    def _caller_unusable(self):
+    def _caller_failed(self):
         self.caller.finished = True
         self.job.abandoned = True
-        self.caller_closed()
+        self.on_caller_closed()
 
-    def _server_unusable(self):
+    def _server_failed(self):
         if self.connection is not None:
             self.attempt_failed(Failure.RESET_BEFORE_RESPONSE)
 
-    def _run_waiting(self):
-        waiting, self.waiting = self.waiting, []
-        for method, arguments in waiting:
+    def _run_pending_calls(self):
+        calls, self.pending_calls = self.pending_calls, []
+        for method, arguments in calls:
             getattr(self, method)(*arguments)
--- a/src/cassiaford/pipeline/_filter.py
+++ b/src/cassiaford/pipeline/_filter.py
@@ -1,4 +1,4 @@
-"""Filters and the pipe that joins them."""
+"""The filter interface and the function that runs a chain of filters."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 class Filter(ABC, Generic[In, Out]):
-    """One step of a request's way.
+    """One step in the processing of a request.
 
     A filter takes one typed message and returns the next, or the refusal
     that ends the request.
@@ -23,7 +23,7 @@
 
 
 def run_filters(filters: Sequence[Filter], message: object) -> object:
-    """Pass a message through filters; stop at the first refusal."""
+    """Pass a message through filters in order; return early on a refusal."""
     for step in filters:
         message = step.process(message)
         if isinstance(message, Refusal):
--- a/src/cassiaford/pipeline/_settle.py
+++ b/src/cassiaford/pipeline/_finalize.py
@@ -1,4 +1,4 @@
-"""Settle: what is done once a request has ended, however it ended."""
+"""Finalization: refunds tokens and records the outcome of an ended request."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,10 @@
 from cassiaford.verdict import Refusal, Verdict
 
 
-class Settler:
-    """Gives back unused tokens and records how requests ended.
+class RequestFinalizer:
+    """Refunds unused tokens and records the outcomes of requests.
 
-    `completed` is told of each request that has run to its end.
+    `on_completed` is called with each request that ran to completion.
     """
 
     def __init__(
@@ -21,19 +21,19 @@
         limiter: Limiter,
         metrics: Metrics,
         journal: Journal,
-        completed: Callable[[AdmittedRequest], None],
+        on_completed: Callable[[AdmittedRequest], None],
     ):
         self.limiter = limiter
         self.metrics = metrics
         self.journal = journal
-        self.completed = completed
+        self.on_completed = on_completed
 
-    def settle(self, request: AdmittedRequest, outcome: Outcome) -> None:
-        """Settle a request that was admitted."""
-        self._give_back(request, outcome)
-        self._measure(request, outcome)
+    def finalize(self, request: AdmittedRequest, outcome: Outcome) -> None:
+        """Finalize a request that was admitted."""
+        self._refund_unused(request, outcome)
+        self._record_metrics(request, outcome)
         if outcome.verdict is Verdict.RAN:
-            self.completed(request)
+            self.on_completed(request)
         subject = Subject(
             request.request_id, request.customer_name, ",".join(outcome.servers)
         )
@@ -51,19 +51,19 @@
             service_class=request.service_class.value,
         )
 
-    def settle_refused(
+    def finalize_refused(
         self, caller: CallerRequest, customer_name: str, refusal: Refusal
     ) -> None:
-        """Settle a request that was refused before it was admitted."""
+        """Finalize a request that was refused before it was admitted."""
         self._count_verdict("", customer_name, refusal.verdict)
         self._record_refusal(refusal, Subject(caller.request_id, customer_name))
 
-    def give_back_all(self, request: AdmittedRequest) -> None:
-        """Give back the whole charge of a request that is not run."""
+    def refund_all(self, request: AdmittedRequest) -> None:
+        """Refund the whole charge of a request that is not run."""
         if request.customer_name:
             self.limiter.refund(request.customer_name, request.charged_tokens)
 
-    def _give_back(self, request, outcome):
+    def _refund_unused(self, request, outcome):
         if not request.customer_name:
             return
         unused = 0
@@ -74,7 +74,7 @@
         if unused:
             self.limiter.refund(request.customer_name, unused)
 
-    def _measure(self, request, outcome):
+    def _record_metrics(self, request, outcome):
         service_class = request.service_class.value
         self._count_verdict(service_class, request.customer_name, outcome.verdict)
         label = Label("class", service_class)
@@ -82,7 +82,7 @@
         durations = (
             (DurationMetric.TIME_TO_FIRST_TOKEN, outcome.first_token_s),
             (DurationMetric.QUEUE_WAIT, timings.queue_wait_s),
-            (DurationMetric.PLACEMENT_TIME, timings.decision_s),
+            (DurationMetric.PLACEMENT_TIME, timings.placement_s),
             (DurationMetric.LONGEST_GAP, timings.longest_gap_s),
         )
         for quantity, seconds in durations:
--- a/src/cassiaford/pipeline/_forward.py
+++ b/src/cassiaford/pipeline/_forward.py
@@ -1,8 +1,7 @@
-"""Sending a request to a backend server, up to the point of its answer.
+"""Sending of requests to backend servers, and cancelling them.
 
-Each request has a connection of its own: a connection that is never used
-again can neither bring an answer late to the wrong request nor have gone
-silent while it was idle.
+Each request has its own connection. A connection that is not reused can neither
+deliver a late response to the wrong request nor have died while it was idle.
 """
 
 import http.client
@@ -16,7 +15,7 @@
 
 
 class ForwardError(Exception):
-    """A request that could not be sent; `failure` says how far it got."""
+    """A request that could not be sent, for the reason in `failure`."""
 
     def __init__(self, failure: Failure):
         super().__init__(failure.text)
@@ -30,9 +29,9 @@
     connect_timeout_s: float,
     send_timeout_s: float,
 ) -> socket.socket:
-    """Send a request and return the socket on which its answer will come.
+    """Send a request and return the socket on which the response will arrive.
 
-    With `offset` set, the server is asked to resume a stream after so many
+    With `offset` set, the server is asked to resume a stream after that many
     events. Raises `ForwardError`.
     """
     connection = _connect(address, connect_timeout_s)
@@ -45,19 +44,19 @@
             headers=request.headers_at(offset),
         )
     except (ValueError, http.client.InvalidURL) as error:
-        # Raised while the head is put together, before anything is sent.
+        # Raised while the head is built, before anything is sent.
         connection.close()
         raise ForwardError(Failure.UNSENDABLE) from error
     except (OSError, HTTPError) as error:
         connection.close()
         raise ForwardError(Failure.SEND_FAILED) from error
-    return _take_socket(connection)
+    return _detach_socket(connection)
 
 
 def cancel_request(
     address: str, request_id: str, credential: str, timeout_s: float
 ) -> None:
-    """Ask an engine to stop a request; an engine that is gone has stopped it."""
+    """Cancel a request at an engine; ignore an engine that cannot be reached."""
     headers = {"Authorization": f"Bearer {credential}"} if credential else {}
     try:
         connection = _connect(address, timeout_s)
@@ -82,8 +81,8 @@
     return connection
 
 
-def _take_socket(connection):
-    """Part the socket from its connection, which would close it in the end."""
+def _detach_socket(connection):
+    """Detach the socket from its connection, which would close it when collected."""
     sock = connection.sock
     connection.sock = None
     sock.setblocking(False)
--- a/src/cassiaford/pipeline/_answers.py
+++ b/src/cassiaford/pipeline/_http_responses.py
@@ -1,4 +1,4 @@
-"""Refusals as HTTP answers, in the OpenAI-compatible interface's error form."""
+"""HTTP responses for refusals, in the error format of the OpenAI API."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 
 def refusal_body(refusal: Refusal, request_id: str) -> bytes:
-    """Return the JSON body that tells a caller of a refusal."""
+    """Return the JSON body of a refusal."""
     error = {
         "message": refusal.message,
         "type": refusal.reason.error_type,
@@ -35,7 +35,7 @@
         Header(VERDICT_HEADER, refusal.verdict.value),
         Header(REQUEST_ID_HEADER, request_id),
     ]
-    # The public openai client heeds this header when it decides on a retry.
+    # The openai client library obeys this header when it decides on a retry.
     should_retry = refusal.retry_after_s is not None
     headers.append(Header("X-Should-Retry", "true" if should_retry else "false"))
     if should_retry:
@@ -59,7 +59,7 @@
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> bytes:
-    """Return a whole HTTP response that refuses and closes the connection."""
+    """Return a complete HTTP response for a refusal, with `Connection: close`."""
     body = refusal_body(refusal, request_id)
     headers = (
         *refusal_headers(refusal, request_id),
--- a/src/cassiaford/pipeline/_job.py
+++ b/src/cassiaford/pipeline/_job.py
@@ -1,4 +1,4 @@
-"""A request under way: what has been tried and what the caller has got."""
+"""The state of a request in progress: its attempts and its response so far."""
 
 import socket
 from collections.abc import Callable
@@ -17,15 +17,15 @@
 )
 from cassiaford.verdict import Verdict, combine
 
-# Events kept to compare a second run with the first; a stream that has sent
-# more cannot go on at another engine.
+# Events up to this total size are kept, to compare a second run with the first.
+# A longer stream cannot be continued at another engine.
 MAX_HISTORY_BYTES = 256 * 1024
-# The longest answer that is kept for the record of a request that runs once.
+# The longest response that is stored with the claim of a non-repeatable request.
 MAX_COPY_BYTES = 256 * 1024
 
 
 class StreamProgress:
-    """The events that a stream has brought so far, over all its connections."""
+    """The events received from a stream so far, over all its connections."""
 
     def __init__(self, keep_history: bool):
         self.received = 0
@@ -37,7 +37,7 @@
         self.failed = False
 
     def add(self, event: bytes) -> None:
-        """Count an event, and keep it while the history is short enough."""
+        """Count an event, and keep it while the history is below its size limit."""
         self.received += 1
         if self.history is None:
             return
@@ -49,52 +49,52 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the stream has said by itself that it is at its end."""
+        """Whether the stream has sent an event that marks its end."""
         return self.done or self.finished or self.failed
 
 
-class AnswerCopy:
-    """What the caller got, for the record of a request that runs once.
+class ResponseCopy:
+    """A copy of the response, stored with the claim of a non-repeatable request.
 
-    `content` is empty if the answer is longer than a record may be.
+    `content` is empty if the response exceeds `MAX_COPY_BYTES`.
     """
 
-    def __init__(self, keeps: bool):
-        self.keeps = keeps
+    def __init__(self, enabled: bool):
+        self.enabled = enabled
         self.parts = []
         self.size = 0
 
     def add(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Add a part of the body."""
         self.size += len(data)
         if self.size > MAX_COPY_BYTES:
-            self.keeps = False
+            self.enabled = False
             self.parts.clear()
         else:
             self.parts.append(data)
 
     @property
     def content(self) -> bytes:
-        """The whole body."""
+        """The complete body."""
         return b"".join(self.parts)
 
 
 class Job:
-    """A submitted request; one thread has it at a time."""
+    """A submitted request; only one thread works on it at a time."""
 
     def __init__(
         self,
         request: AdmittedRequest,
         upstream: UpstreamRequest,
         caller: socket.socket,
-        on_settled: Callable[[AdmittedRequest, Outcome], None],
-        give_up_at: float,
+        on_finished: Callable[[AdmittedRequest, Outcome], None],
+        request_deadline: float,
     ):
         self.request = request
         self.upstream = upstream
         self.caller = caller
-        self.on_settled = on_settled
-        self.give_up_at = give_up_at
+        self.on_finished = on_finished
+        self.request_deadline = request_deadline
         self.deadline = request.deadline
         self.server: BackendServer | None = None
         self.servers = []
@@ -106,42 +106,42 @@
         self.resume_at: int | None = None
         self.server_echoes_id = False
         self.last_failure: Failure | None = None
-        self.opened = False
+        self.has_exchange = False
         self.abandoned = False
-        self.copy = AnswerCopy(keeps=not request.repeatable)
+        self.response_copy = ResponseCopy(enabled=not request.repeatable)
         deterministic = upstream.streaming and _is_deterministic(request)
         self.progress = StreamProgress(request.repeatable and deterministic)
 
     @property
     def verdict(self) -> Verdict:
-        """The verdict on all attempts so far."""
+        """The combined verdict of all attempts so far."""
         return combine(self.verdicts)
 
-    def sent_to(self, server: BackendServer) -> None:
-        """Take note that an attempt begins."""
+    def record_attempt(self, server: BackendServer) -> None:
+        """Record the start of an attempt."""
         self.server = server
         self.attempts += 1
         if not self.servers or self.servers[-1] != server.name:
             self.servers.append(server.name)
 
-    def waited(self, queue_wait_s: float, decision_s: float) -> None:
-        """Take note of how long the first choice of a server took to come."""
+    def record_placement(self, queue_wait_s: float, placement_s: float) -> None:
+        """Record how long the request was queued, and how long placing it took."""
         self.timings = replace(
-            self.timings, queue_wait_s=queue_wait_s, decision_s=decision_s
+            self.timings, queue_wait_s=queue_wait_s, placement_s=placement_s
         )
 
-    def paused_for(self, gap_s: float) -> None:
-        """Take note of the longest gap in one attempt's answer."""
+    def record_gap(self, gap_s: float) -> None:
+        """Record the longest gap in the response to one attempt."""
         longest_s = max(gap_s, self.timings.longest_gap_s or 0.0)
         self.timings = replace(self.timings, longest_gap_s=longest_s)
 
-    def failed(self, failure: Failure) -> None:
-        """Take note of a failed attempt."""
+    def record_failure(self, failure: Failure) -> None:
+        """Record a failed attempt."""
         self.verdicts.append(failure.verdict)
         self.last_failure = failure
 
-    def leave_server(self) -> None:
-        """Choose another server for what follows."""
+    def exclude_server(self) -> None:
+        """Exclude the current server from further attempts."""
         if self.server is not None:
             self.excluded.add(self.server.name)
         self.server = None
@@ -149,22 +149,22 @@
         self.resumes = 0
         self.server_echoes_id = False
 
-    def tells_of_crash(self, failure: Failure) -> bool:
-        """Return whether a failure looks like the crash of the job's server."""
+    def indicates_crash(self, failure: Failure) -> bool:
+        """Return whether a failure indicates that the job's server crashed."""
         resuming = self.resume_at is not None
         return indicates_crash(failure, resuming, self.progress.received > 0)
 
-    def after_failure(self) -> FailedRequest:
-        """Return what the decision on a retry needs."""
+    def failed_request(self) -> FailedRequest:
+        """Return the input for the decision on a retry."""
         return FailedRequest(
             verdict=self.verdict,
             repeatable=self.request.repeatable,
             attempts=self.attempts,
-            deadline=self.give_up_at,
+            deadline=self.request_deadline,
         )
 
     def broken_stream(self) -> BrokenStream:
-        """Return what the decision on a resumption needs."""
+        """Return the input for the decision on a resumption."""
         return BrokenStream(
             streaming=self.upstream.streaming,
             repeatable=self.request.repeatable,
@@ -174,7 +174,7 @@
         )
 
     def ticket(self) -> Ticket:
-        """Return the place in the queue that the request asks for."""
+        """Return the ticket by which the request is queued."""
         return Ticket(
             request_id=self.request.request_id,
             customer=self.request.customer_name,
@@ -184,7 +184,7 @@
         )
 
     def placement_request(self) -> PlacementRequest:
-        """Return what placement is told."""
+        """Return the input for the placement policy."""
         call = self.request.call
         return PlacementRequest(
             request_id=self.request.request_id,
@@ -196,6 +196,6 @@
 
 
 def _is_deterministic(request):
-    """Return whether a second run may well bring the same events."""
+    """Return whether a second run is likely to produce the same events."""
     body = request.call.body
     return body.get("temperature") == 0 or body.get("seed") is not None
--- a/src/cassiaford/pipeline/_limits.py
+++ b/src/cassiaford/pipeline/_limits.py
@@ -5,15 +5,15 @@
 from cassiaford.pipeline._messages import AdmittedRequest
 from cassiaford.settings import LimitSettings
 
-# An answer that does not stream begins only when all of it is computed.
+# The first byte of a non-streaming response is sent after its last token.
 SECONDS_PER_OUTPUT_TOKEN = 0.1
-# The time that a caller has to read the end of its answer.
+# The time that a caller has to read the rest of its response.
 FLUSH_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True)
 class ExchangeLimits:
-    """The settings that bound an exchange, and what follows from them."""
+    """The timeouts of an exchange."""
 
     first_byte_timeout_s: float
     silence_timeout_s: float
@@ -21,7 +21,7 @@
     flush_timeout_s: float = FLUSH_TIMEOUT_S
 
     def first_byte_s(self, request: AdmittedRequest) -> float:
-        """Return the time in seconds that the first byte of a body may take."""
+        """Return the timeout in seconds for the first byte of a body."""
         call = request.call
         if call is None or call.streaming:
             return self.first_byte_timeout_s
@@ -29,7 +29,7 @@
 
 
 def exchange_limits(settings: LimitSettings) -> ExchangeLimits:
-    """Return the limits that the settings ask for."""
+    """Return the limits for the given settings."""
     return ExchangeLimits(
         first_byte_timeout_s=settings.first_byte_timeout_s,
         silence_timeout_s=settings.silence_timeout_s,
--- a/src/cassiaford/pipeline/_messages.py
+++ b/src/cassiaford/pipeline/_messages.py
@@ -1,4 +1,4 @@
-"""The messages that pass between the filters of the pipeline."""
+"""The messages that are passed between the steps of the pipeline."""
 
 import enum
 import math
@@ -10,7 +10,7 @@
 
 
 class ServiceClass(enum.Enum):
-    """How urgent a request is: a quick check, ordinary work, or bulk work."""
+    """The urgency of a request: a quick check, ordinary work, or bulk work."""
 
     INTERACTIVE = "interactive"
     STANDARD = "standard"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Header:
-    """One HTTP header as it came, its name in lower case."""
+    """One HTTP header; in received messages the name is in lower case."""
 
     name: str
     value: str
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A request as it came from a caller.
+    """A request received from a caller.
 
-    `received_at` is in seconds on the monotonic clock. `headers` has neither
-    the caller's key nor any hop-by-hop header. `target` is the path with its
-    query, as it came.
+    `received_at` is in seconds on the monotonic clock. `headers` contains
+    neither the caller's key nor hop-by-hop headers. `target` is the path with
+    its query, unchanged.
     """
 
     request_id: str
@@ -44,7 +44,7 @@
     key: str = field(default="", repr=False)
 
     def header(self, name: str) -> str:
-        """Return the first header of a name, or an empty text."""
+        """Return the first value of a header, or an empty string."""
         for header in self.headers:
             if header.name == name:
                 return header.value
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class AuthenticatedRequest:
-    """A request of which the customer is known; None on a route open to all.
+    """A request with its customer, which is None on a route open to all.
 
     Exactly one of `route` and `model_path` is set: a plain service's route,
     or the path of the OpenAI-compatible interface.
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class ModelCall:
-    """What a request asks of a model engine.
+    """The parsed body of a request to a model engine.
 
     `prompt_tokens` is estimated from the length of the prompt; `max_output`
     is in tokens. `chain` holds the hashes of the prompt's blocks under
@@ -86,12 +86,12 @@
 
 @dataclass(frozen=True)
 class AdmittedRequest:
-    """A request within its customer's rate, with the tokens charged for it.
+    """A request within its customer's rate, and the tokens charged for it.
 
     `deadline` is in seconds on the monotonic clock: the latest time at which
     the request may be sent to a backend server for the first time. No attempt
-    may start after `start_by`, on the same clock: a process that was paused
-    might otherwise run what another has run in the meantime.
+    may start after `start_by`, on the same clock: otherwise a process that was
+    suspended could run a request that another has run in the meantime.
     """
 
     authenticated: AuthenticatedRequest
@@ -130,15 +130,15 @@
 
 @dataclass(frozen=True)
 class Timings:
-    """How long the steps of a request took, in seconds; None if not taken.
+    """The durations of a request's steps in seconds; None if not reached.
 
-    `queue_wait_s` runs from receipt to the first choice of a server,
-    `decision_s` is the time of that choice, and `longest_gap_s` the longest
-    time between two arrivals of its answer's bytes.
+    `queue_wait_s` runs from receipt to the first placement, `placement_s` is
+    the time taken to choose that server, and `longest_gap_s` the longest time
+    between two arrivals of response bytes.
     """
 
     queue_wait_s: float | None = None
-    decision_s: float | None = None
+    placement_s: float | None = None
     longest_gap_s: float | None = None
 
 
@@ -146,9 +146,9 @@
 class Outcome:
     """How a request ended.
 
-    `status` is the HTTP status that the caller got, 0 if the caller left
+    `status` is the HTTP status sent to the caller, 0 if the caller disconnected
     before one was sent. `first_token_s` is the time in seconds from receipt
-    to the first byte of the answer's body.
+    to the first byte of the response body.
     """
 
     verdict: Verdict
--- a/src/cassiaford/pipeline/_owner.py
+++ b/src/cassiaford/pipeline/_owner.py
@@ -1,4 +1,4 @@
-"""What an exchange asks of the dispatcher and tells it."""
+"""The interface through which exchanges use the dispatcher."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class ExchangeOwner(ABC):
-    """Decides about the attempts of exchanges and keeps the accounts."""
+    """Decides on the attempts of exchanges and tracks their servers and outcomes."""
 
     clock: Callable[[], float]
 
@@ -20,40 +20,40 @@
 
     @abstractmethod
     def requeue(self, job: Job) -> Refusal | None:
-        """Send a job again, or return why it cannot be sent."""
+        """Queue a job for another attempt, or return why that is refused."""
 
     @abstractmethod
-    def server_failed(self, job: Job, failure: Failure) -> None:
-        """Take note of what a failure says about the job's server."""
+    def record_server_failure(self, job: Job, failure: Failure) -> None:
+        """Record an attempt's failure against the job's server."""
 
     @abstractmethod
-    def server_left(self, job: Job, answered: bool) -> None:
-        """Take note that a job no longer runs on its server."""
+    def release_server(self, job: Job, answered: bool) -> None:
+        """Record that a job no longer runs on its server."""
 
     @abstractmethod
-    def hold_server(self, job: Job, wait_s: float) -> None:
-        """Take note that the job's server asked to be left alone."""
+    def back_off_server(self, job: Job, wait_s: float) -> None:
+        """Send the job's server no new requests for the time that it asked for."""
 
     @abstractmethod
     def cancel(self, job: Job) -> None:
-        """Stop the job's work at its engine."""
+        """Cancel the job's request at its engine."""
 
     @abstractmethod
-    def first_byte(self, job: Job) -> None:
-        """Take note that the answer's body has begun."""
+    def record_first_byte(self, job: Job) -> None:
+        """Record the first byte of the response body."""
 
     @abstractmethod
-    def settled(self, job: Job, outcome: Outcome) -> None:
-        """Take note of how a job ended; called once for each job."""
+    def record_outcome(self, job: Job, outcome: Outcome) -> None:
+        """Record the outcome of a job; called once for each job."""
 
     @abstractmethod
-    def caller_left(self, job: Job) -> None:
-        """Take note that the caller left before its answer was complete."""
+    def record_caller_left(self, job: Job) -> None:
+        """Record that the caller disconnected before its response was complete."""
 
     @abstractmethod
-    def over(self, job: Job) -> None:
-        """Take note that a job is settled and its caller's connection closed."""
+    def remove_job(self, job: Job) -> None:
+        """Remove a finalized job whose caller's connection is closed."""
 
     @abstractmethod
-    def fault(self, error: BaseException | None) -> None:
-        """Take note of an error that nothing was prepared for."""
+    def record_fault(self, error: BaseException | None) -> None:
+        """Record an unexpected error."""
--- a/src/cassiaford/pipeline/_receive.py
+++ b/src/cassiaford/pipeline/_receive.py
@@ -1,4 +1,4 @@
-"""Receive: from raw HTTP to a request whose form is known to be sound."""
+"""Receipt: turns a raw HTTP request into a validated one."""
 
 import re
 import uuid
@@ -10,7 +10,7 @@
 from cassiaford.pipeline._messages import CallerRequest, Header
 from cassiaford.verdict import Refusal, RefusalReason, refuse
 
-# Headers that end at this hop, or that hold what no backend server may see.
+# Hop-by-hop headers, and those that no backend server may see.
 DROPPED_HEADERS = HOP_BY_HOP | frozenset(
     {
         "authorization",
@@ -22,23 +22,23 @@
         "x-api-key",
     }
 )
-# Headers of cassiaford's own that a caller must not forge.
+# Headers that cassiaford sets itself; a caller must not forge them.
 RESERVED_HEADERS = frozenset(
     {"x-cache-salt", "x-not-started", "x-priority", "x-request-id", "x-resume-offset"}
 )
-BEARER = "bearer "
-# A path with dot segments or encoded separators may mean another route to the
-# backend server than to the router.
+BEARER_PREFIX = "bearer "
+# A backend server may resolve dot segments or encoded separators to another
+# route than the one that the router checked.
 _AMBIGUOUS_PATH = re.compile(r"//|/\.{1,2}(/|$)|[\\\x00-\x20\x7f]|%2f|%5c", re.I)
 _PRINTABLE_TARGET = re.compile(r"^/[!-~]*$")
 
 
 @dataclass(frozen=True)
 class RawRequest:
-    """A request as the HTTP server read it.
+    """A request as parsed by the HTTP server.
 
     `received_at` is in seconds on the monotonic clock; `target` is the path
-    with its query, as it came.
+    with its query, unchanged.
     """
 
     method: str
@@ -49,10 +49,10 @@
 
 
 class ReceiveFilter(Filter[RawRequest, CallerRequest]):
-    """Checks the form of a request, names it, and sets the key apart."""
+    """Validates the path, assigns a request id and extracts the API key."""
 
     def process(self, message: RawRequest) -> CallerRequest | Refusal:
-        """Return the request, or the refusal of one that is malformed."""
+        """Return the request, or a refusal if it is malformed."""
         path = message.target.partition("?")[0]
         if not _is_plain_path(message.target, path):
             return refuse(
@@ -66,7 +66,7 @@
             method=message.method,
             target=message.target,
             path=path,
-            headers=tuple(h for h in message.headers if _passes(h.name)),
+            headers=tuple(h for h in message.headers if _is_forwarded(h.name)),
             body=message.body,
             key=_bearer_key(message.headers),
         )
@@ -75,12 +75,12 @@
 def _is_plain_path(target, path):
     if not _PRINTABLE_TARGET.match(target):
         return False
-    # Decoded twice, since a backend server may decode once more.
+    # Decoded twice, since a backend server may decode the path once more.
     candidates = (path, unquote(path), unquote(unquote(path)))
     return not any(_AMBIGUOUS_PATH.search(text) for text in candidates)
 
 
-def _passes(name):
+def _is_forwarded(name):
     return name not in DROPPED_HEADERS and name not in RESERVED_HEADERS
 
 
@@ -88,6 +88,6 @@
     for header in headers:
         if header.name == "authorization":
             value = header.value.strip()
-            if value.lower().startswith(BEARER):
-                return value[len(BEARER) :].strip()
+            if value.lower().startswith(BEARER_PREFIX):
+                return value[len(BEARER_PREFIX) :].strip()
     return ""
--- a/src/cassiaford/pipeline/_response.py
+++ b/src/cassiaford/pipeline/_response.py
@@ -1,4 +1,4 @@
-"""Reading a backend server's answer as it arrives."""
+"""Incremental parsing of a backend server's response."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -8,20 +8,20 @@
 from cassiaford._hop_by_hop import HOP_BY_HOP
 from cassiaford.pipeline._messages import Header
 
-# Statuses below this are interim answers; another one follows.
+# Statuses below this belong to interim responses; another response follows.
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = frozenset({204, 304})
 
 
 @dataclass(frozen=True)
-class AnswerHead:
-    """The status and headers of an answer, names in lower case."""
+class ResponseHead:
+    """The status and headers of a response, with header names in lower case."""
 
     status: int
     headers: tuple[Header, ...]
 
     def header(self, name: str) -> str:
-        """Return the first header of a name, or an empty text."""
+        """Return the first value of a header, or an empty string."""
         for header in self.headers:
             if header.name == name:
                 return header.value
@@ -34,45 +34,45 @@
 
     @property
     def length(self) -> int | None:
-        """The announced length of the body in bytes, if any."""
+        """The declared length of the body in bytes, or None."""
         text = self.header("content-length")
         return int(text) if text.isdecimal() else None
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether only the end of the connection ends the body."""
+        """Whether the body is delimited by the close of the connection."""
         chunked = "chunked" in self.header("transfer-encoding").lower()
         return self.length is None and not chunked
 
-    def passed_headers(self) -> tuple[Header, ...]:
-        """Return the headers that concern the caller."""
-        stopped = HOP_BY_HOP | {"content-length", "x-request-id"}
-        return tuple(h for h in self.headers if h.name not in stopped)
+    def forwarded_headers(self) -> tuple[Header, ...]:
+        """Return the headers to forward to the caller."""
+        dropped = HOP_BY_HOP | {"content-length", "x-request-id"}
+        return tuple(h for h in self.headers if h.name not in dropped)
 
 
-class AnswerListener(ABC):
-    """Hears of an answer's parts in their order."""
+class ResponseListener(ABC):
+    """Receives the parts of a response in order."""
 
     @abstractmethod
-    def answer_head(self, head: AnswerHead) -> None:
-        """Take the head; it comes once."""
+    def on_response_head(self, head: ResponseHead) -> None:
+        """Handle the head; called once."""
 
     @abstractmethod
-    def answer_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+    def on_response_body(self, data: bytes) -> None:
+        """Handle a part of the body."""
 
     @abstractmethod
-    def answer_end(self) -> None:
-        """Take note that the answer is complete."""
+    def on_response_end(self) -> None:
+        """Handle the end of the response."""
 
 
-class AnswerReader:
-    """Parses an answer and tells a listener of its parts.
+class ResponseParser:
+    """Parses a response and passes its parts to a listener.
 
-    The methods whose names begin with ``on_`` are called by the parser.
+    The methods whose names begin with ``on_`` are callbacks of the parser.
     """
 
-    def __init__(self, listener: AnswerListener, method: str):
+    def __init__(self, listener: ResponseListener, method: str):
         self.listener = listener
         self.method = method
         self.parser = httptools.HttpResponseParser(self)
@@ -81,42 +81,42 @@
         self.complete = False
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; raises `httptools.HttpParserError` if they are invalid."""
+        """Parse bytes; raise `httptools.HttpParserError` if they are invalid."""
         if not self.complete:
             self.parser.feed_data(data)
 
-    def end_of_connection(self) -> None:
-        """Take note that no more bytes come."""
+    def feed_eof(self) -> None:
+        """Process the end of the connection."""
         if self.head and not self.complete and self.head.ends_with_connection:
             self._end()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep one header."""
+        """Store one header."""
         text = value.decode("latin-1")
         self.headers.append(Header(name.decode("latin-1").lower(), text))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on unless it is interim."""
+        """Pass the head to the listener unless it is interim."""
         status = self.parser.get_status_code()
         headers, self.headers = tuple(self.headers), []
         if status < FIRST_FINAL_STATUS:
             return
-        self.head = AnswerHead(status, headers)
-        self.listener.answer_head(self.head)
+        self.head = ResponseHead(status, headers)
+        self.listener.on_response_head(self.head)
         if self.method == "HEAD" or status in BODILESS_STATUSES:
             self._end()
 
     def on_body(self, data: bytes) -> None:
-        """Pass a part of the body on."""
+        """Pass a part of the body to the listener."""
         if not self.complete:
-            self.listener.answer_body(data)
+            self.listener.on_response_body(data)
 
     def on_message_complete(self) -> None:
-        """Pass the end on unless only an interim answer has ended."""
+        """Report the end of the response unless it was an interim one."""
         if self.head is not None:
             self._end()
 
     def _end(self):
         if not self.complete:
             self.complete = True
-            self.listener.answer_end()
+            self.listener.on_response_end()
--- a/src/cassiaford/pipeline/_answer_connection.py
+++ b/src/cassiaford/pipeline/_response_connection.py
@@ -1,4 +1,4 @@
-"""The connection on which a backend server answers one attempt."""
+"""The connection on which a backend server responds to one attempt."""
 
 import asyncio
 from abc import abstractmethod
@@ -6,32 +6,32 @@
 
 import httptools
 
-from cassiaford.pipeline._response import AnswerHead, AnswerListener, AnswerReader
+from cassiaford.pipeline._response import ResponseHead, ResponseListener, ResponseParser
 from cassiaford.policy import Failure
 
 
-class AttemptListener(AnswerListener):
-    """Hears of one attempt's answer and of its failure."""
+class AttemptListener(ResponseListener):
+    """Receives the response to one attempt, or its failure."""
 
     @abstractmethod
-    def parse_failed(self, error: httptools.HttpParserError) -> None:
-        """Take note of why an answer could not be read."""
+    def on_parse_error(self, error: httptools.HttpParserError) -> None:
+        """Handle a response that could not be parsed."""
 
     @abstractmethod
     def attempt_failed(
         self, failure: Failure, retry_after_s: float | None = None
     ) -> None:
-        """Take note that no more comes from this attempt."""
+        """Handle the failure of the attempt; no more data follows."""
 
 
-class AnswerConnection(asyncio.Protocol, AnswerListener):
-    """Reads one answer; once closed, it tells its listener nothing more."""
+class ResponseConnection(asyncio.Protocol, ResponseListener):
+    """Reads one response; calls its listener no more once it is closed."""
 
     def __init__(
         self, listener: AttemptListener, method: str, clock: Callable[[], float]
     ):
         self.listener = listener
-        self.reader = AnswerReader(self, method)
+        self.parser = ResponseParser(self, method)
         self.clock = clock
         self.transport = None
         self.closed = False
@@ -42,18 +42,18 @@
         self.longest_gap_s = 0.0
 
     @property
-    def head(self) -> AnswerHead | None:
-        """The answer's head, once it is there."""
-        return self.reader.head
+    def head(self) -> ResponseHead | None:
+        """The head of the response; None until it has been received."""
+        return self.parser.head
 
     def close(self) -> None:
-        """Close at once; whatever is still to come is dropped."""
+        """Close immediately and drop any further data."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
     def pause(self, paused: bool) -> None:
-        """Stop or resume reading."""
+        """Pause or resume reading."""
         if self.closed or self.transport is None or paused == self.paused:
             return
         self.paused = paused
@@ -64,33 +64,33 @@
             self.transport.resume_reading()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, unless nobody wants the answer any more."""
+        """Store the transport; abort it if this connection was closed already."""
         self.transport = transport
         if self.closed:
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         if self.closed:
             return
         now = self.clock()
-        if self.reader.head is not None:
+        if self.parser.head is not None:
             self.longest_gap_s = max(self.longest_gap_s, now - self.last_byte_at)
         self.last_byte_at = now
         try:
-            self.reader.feed(data)
+            self.parser.feed(data)
         except httptools.HttpParserError as error:
-            self.listener.parse_failed(error)
+            self.listener.on_parse_error(error)
             self._fail(Failure.INVALID_RESPONSE)
 
     def eof_received(self) -> None:
-        """Close; `connection_lost` follows."""
+        """Let the transport close; `connection_lost` follows."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Judge an answer whose connection has ended."""
+        """Complete the response, or report the failure that the loss amounts to."""
         if self.closed:
             return
-        self.reader.end_of_connection()
+        self.parser.feed_eof()
         if self.head is None:
             self._fail(Failure.RESET_BEFORE_RESPONSE)
         elif exc is not None:
@@ -98,21 +98,21 @@
         else:
             self._fail(Failure.TRUNCATED_RESPONSE)
 
-    def answer_head(self, head: AnswerHead) -> None:
-        """Pass the head on."""
+    def on_response_head(self, head: ResponseHead) -> None:
+        """Pass the head to the listener."""
         if not self.closed:
-            self.listener.answer_head(head)
+            self.listener.on_response_head(head)
 
-    def answer_body(self, data: bytes) -> None:
-        """Pass a part of the body on."""
+    def on_response_body(self, data: bytes) -> None:
+        """Pass a part of the body to the listener."""
         if not self.closed:
             self.has_body = True
-            self.listener.answer_body(data)
+            self.listener.on_response_body(data)
 
-    def answer_end(self) -> None:
-        """Pass the end on."""
+    def on_response_end(self) -> None:
+        """Tell the listener that the response is complete."""
         if not self.closed:
-            self.listener.answer_end()
+            self.listener.on_response_end()
 
     def _fail(self, failure):
         if not self.closed:
--- a/src/cassiaford/pipeline/_sockets.py
+++ b/src/cassiaford/pipeline/_sockets.py
@@ -1,4 +1,4 @@
-"""Giving connected sockets to an event loop."""
+"""Attaching connected sockets to an event loop."""
 
 import asyncio
 import socket
--- a/src/cassiaford/pipeline/_statuses.py
+++ b/src/cassiaford/pipeline/_statuses.py
@@ -1,6 +1,6 @@
-"""What an answer's status and headers say about its request."""
+"""Interpretation of a response's status and headers."""
 
-from cassiaford.pipeline._response import AnswerHead
+from cassiaford.pipeline._response import ResponseHead
 from cassiaford.pipeline._upstream import NOT_STARTED_HEADER
 from cassiaford.policy import Failure
 from cassiaford.verdict import Verdict
@@ -8,40 +8,40 @@
 OK = 200
 TOO_MANY_REQUESTS = 429
 SERVICE_UNAVAILABLE = 503
-# Answers by which a server says that something behind it failed.
-DOUBTFUL_STATUSES = frozenset({502, 503, 504})
+# Statuses that say that something behind the server failed.
+UNCERTAIN_STATUSES = frozenset({502, 503, 504})
 
 
-def answer_verdict(head: AnswerHead) -> Verdict:
-    """Return whether a request ran, given the answer that the caller gets."""
-    if head.status in DOUBTFUL_STATUSES:
+def response_verdict(head: ResponseHead) -> Verdict:
+    """Return whether a request ran, given the response relayed to the caller."""
+    if head.status in UNCERTAIN_STATUSES:
         return Verdict.MAY_HAVE_RUN
     return Verdict.RAN
 
 
-def refused_attempt(head: AnswerHead, continues: bool) -> Failure | None:
-    """Return the failure that a head amounts to, or None if it is an answer.
+def response_failure(head: ResponseHead, continues_stream: bool) -> Failure | None:
+    """Return the failure that a head reports, or None if it can be relayed.
 
-    `continues` says that a part of a stream has arrived already, which only a
-    further stream can continue.
+    `continues_stream` says that part of a stream was received before, so that
+    the response must be a stream too.
     """
     not_started = head.header(NOT_STARTED_HEADER).lower() == "true"
     if not_started and head.status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
         return Failure.NOT_STARTED
     if head.status == SERVICE_UNAVAILABLE:
         return Failure.OVERLOADED
-    if continues and not (head.status == OK and head.is_event_stream):
+    if continues_stream and not (head.status == OK and head.is_event_stream):
         return Failure.UNKNOWN_STREAM
     return None
 
 
-def retry_after(head: AnswerHead) -> float | None:
-    """Return the seconds in a ``Retry-After`` header, if it has them."""
+def retry_after(head: ResponseHead) -> float | None:
+    """Return the seconds in a ``Retry-After`` header, or None without them."""
     text = head.header("retry-after")
     return float(text) if text.isdecimal() else None
 
 
-def wrong_request(head: AnswerHead, request_id: str) -> bool:
-    """Return whether an answer names another request than ours."""
+def is_mismatched(head: ResponseHead, request_id: str) -> bool:
+    """Return whether a response carries the id of another request."""
     named = head.header("x-request-id")
     return bool(named) and named != request_id
--- a/src/cassiaford/pipeline/_suspects.py
+++ b/src/cassiaford/pipeline/_suspects.py
@@ -1,4 +1,4 @@
-"""What the dispatcher asks about requests that crash their servers."""
+"""The dispatcher's interface for requests that crash their servers."""
 
 from abc import ABC, abstractmethod
 
@@ -7,28 +7,28 @@
 
 
 class SuspectPolicy(ABC):
-    """Knows the requests that were running on servers when these crashed."""
+    """Tracks the requests that were running on servers when these crashed."""
 
     @abstractmethod
     def refusal(self, request: AdmittedRequest) -> Refusal | None:
         """Return a refusal if a request has crashed too many servers."""
 
     @abstractmethod
-    def crashed(self, request: AdmittedRequest, server: str) -> None:
-        """Take note that a server's connection broke while it ran a request."""
+    def record_crash(self, request: AdmittedRequest, server: str) -> None:
+        """Record that a server's connection broke while it ran a request."""
 
-    def avoided(
+    def servers_to_avoid(
         self, request: AdmittedRequest, servers: tuple[str, ...]
     ) -> frozenset[str]:
         """Return which of the servers must not run a request now.
 
-        A suspect must not run beside another one, so that the next crash
-        tells the guilty from those that were merely beside it.
+        Two suspects must not run on one server, so that the next crash shows
+        which of them causes it.
         """
         return frozenset()
 
-    def sent(self, request: AdmittedRequest, server: str) -> None:
-        """Take note that a request was sent to a server."""
+    def record_start(self, request: AdmittedRequest, server: str) -> None:
+        """Record that a request was sent to a server."""
 
-    def left(self, request: AdmittedRequest, server: str) -> None:
-        """Take note that a request no longer runs on a server."""
+    def record_end(self, request: AdmittedRequest, server: str) -> None:
+        """Record that a request no longer runs on a server."""
--- a/src/cassiaford/pipeline/_upstream.py
+++ b/src/cassiaford/pipeline/_upstream.py
@@ -1,14 +1,14 @@
-"""The request as it goes to a backend server.
+"""The request as it is sent to a backend server.
 
-Nothing that identifies the caller passes: its key, its cookies and its
-hop-by-hop headers stay here, and the instance presents its own credential.
+The caller's key, cookies and hop-by-hop headers are removed; the instance sends
+its own credential instead.
 """
 
 import json
 from dataclasses import dataclass, field, replace
 
 from cassiaford._hop_by_hop import HOP_BY_HOP
-from cassiaford.pipeline._answers import JSON_TYPE, REQUEST_ID_HEADER
+from cassiaford.pipeline._http_responses import JSON_TYPE, REQUEST_ID_HEADER
 from cassiaford.pipeline._messages import AdmittedRequest, ServiceClass
 
 PRIORITY_HEADER = "X-Priority"
@@ -16,11 +16,11 @@
 RESUME_HEADER = "X-Resume-Offset"
 NOT_STARTED_HEADER = "x-not-started"
 
-SECRET = frozenset(
+SECRET_HEADERS = frozenset(
     {"authorization", "proxy-authorization", "api-key", "x-api-key", "cookie"}
 )
-# Set anew for the connection to the backend server, or ours alone to set.
-REPLACED = frozenset(
+# Set for the connection to the backend server, or reserved for cassiaford.
+REPLACED_HEADERS = frozenset(
     {
         "content-length",
         "expect",
@@ -31,10 +31,10 @@
         "x-resume-offset",
     }
 )
-# A compressed answer could be neither cut into events nor read for its usage.
-REPLACED_FOR_MODELS = frozenset({"accept-encoding", "content-type"})
+# A compressed response could neither be split into events nor parsed for usage.
+REPLACED_MODEL_HEADERS = frozenset({"accept-encoding", "content-type"})
 
-# Put at the beginning of a JSON object that has more members.
+# Inserted at the start of a JSON object that has other members.
 _USAGE_OPTION = b'"stream_options": {"include_usage": true}, '
 
 _PRIORITIES = {
@@ -48,8 +48,8 @@
 class UpstreamRequest:
     """A request ready to be sent to any backend server that can take it.
 
-    `hides_usage` says that the usage event was asked for by this instance
-    and not by the caller.
+    `hides_usage` is true if this instance, not the caller, requested the usage
+    event.
     """
 
     request_id: str
@@ -61,12 +61,12 @@
     hides_usage: bool = False
 
     def with_salt(self, salt: str) -> "UpstreamRequest":
-        """Return the request with another cache salt."""
+        """Return a copy of the request with another cache salt."""
         headers = dict(self.headers) | {CACHE_SALT_HEADER: salt}
         return replace(self, headers=tuple(headers.items()))
 
     def headers_at(self, offset: int | None) -> dict[str, str]:
-        """Return the headers, for a resumption after `offset` events if set."""
+        """Return the headers, with the resume offset in events if one is given."""
         headers = dict(self.headers)
         if offset is not None:
             headers[RESUME_HEADER] = str(offset)
@@ -74,7 +74,7 @@
 
 
 def upstream_request(request: AdmittedRequest, credential: str = "") -> UpstreamRequest:
-    """Return what is sent to a backend server for an admitted request."""
+    """Return the request to send to a backend server for an admitted request."""
     if request.call is None:
         return _service_request(request, credential)
     return _model_request(request, credential)
@@ -82,7 +82,7 @@
 
 def _service_request(request, credential):
     caller = request.authenticated.caller
-    headers = _passed_headers(caller.headers, frozenset())
+    headers = _forwarded_headers(caller.headers, frozenset())
     headers.update(_own_headers(request, credential))
     return UpstreamRequest(
         request_id=request.request_id,
@@ -95,7 +95,7 @@
 
 def _model_request(request, credential):
     caller, call = request.authenticated.caller, request.call
-    headers = _passed_headers(caller.headers, REPLACED_FOR_MODELS)
+    headers = _forwarded_headers(caller.headers, REPLACED_MODEL_HEADERS)
     headers.update(_own_headers(request, credential))
     headers["Content-Type"] = JSON_TYPE
     headers["Accept-Encoding"] = "identity"
@@ -107,7 +107,7 @@
         method="POST",
         target=request.authenticated.model_path,
         headers=tuple(headers.items()),
-        body=_with_usage(call.body, caller.body) if adds_usage else caller.body,
+        body=_with_usage_option(call.body, caller.body) if adds_usage else caller.body,
         streaming=call.streaming,
         hides_usage=adds_usage,
     )
@@ -120,21 +120,25 @@
     return headers
 
 
-def _passed_headers(headers, replaced):
-    """Return the headers that may pass, those of one name joined by commas."""
-    named = set()
+def _forwarded_headers(headers, replaced):
+    """Return the headers to forward, those of one name joined by commas."""
+    connection_headers = set()
     for header in headers:
         if header.name.lower() == "connection":
-            named.update(name.strip().lower() for name in header.value.split(","))
-    stopped = HOP_BY_HOP | SECRET | REPLACED | replaced | named
-    passed = {}
+            connection_headers.update(
+                name.strip().lower() for name in header.value.split(",")
+            )
+    dropped = (
+        HOP_BY_HOP | SECRET_HEADERS | REPLACED_HEADERS | replaced | connection_headers
+    )
+    forwarded = {}
     for header in headers:
         name = header.name.lower()
-        if name in stopped:
+        if name in dropped:
             continue
-        earlier = passed.get(name)
-        passed[name] = f"{earlier}, {header.value}" if earlier else header.value
-    return passed
+        earlier = forwarded.get(name)
+        forwarded[name] = f"{earlier}, {header.value}" if earlier else header.value
+    return forwarded
 
 
 def _asks_for_usage(body):
@@ -142,11 +146,11 @@
     return isinstance(options, dict) and options.get("include_usage") is True
 
 
-def _with_usage(body, text):
-    """Return the body's text with the wish for usage put in.
+def _with_usage_option(body, text):
+    """Return the body's text with the option that requests usage.
 
-    The text is kept as it came where possible: a long prompt need not be
-    written anew.
+    Where possible the option is inserted into the text, to avoid serializing a
+    long prompt again.
     """
     start = text.find(b"{") + 1
     if "stream_options" not in body and text[start : start + 1] != b"\0":
--- a/src/cassiaford/pipeline/_versions.py
+++ b/src/cassiaford/pipeline/_versions.py
@@ -1,4 +1,4 @@
-"""What the dispatcher asks about the weights that engines have loaded."""
+"""The dispatcher's interface for the model versions that engines have loaded."""
 
 import secrets
 from abc import ABC, abstractmethod
@@ -7,12 +7,12 @@
 from cassiaford.pipeline._job import Job
 from cassiaford.pipeline._upstream import UpstreamRequest
 
-# The size of a cache salt that no other request has.
+# The size of a random cache salt for a single request.
 SALT_BYTES = 8
 
 
 class ServedVersions(ABC):
-    """Knows which versions of models the engines serve."""
+    """Tracks which versions of models the engines serve."""
 
     @abstractmethod
     def is_serving(self, server: str, model: str) -> bool:
@@ -20,15 +20,15 @@
 
     @abstractmethod
     def is_current(self, server: str, model: Model) -> bool:
-        """Return whether an engine surely runs just this version of a model.
+        """Return whether an engine is confirmed to run exactly this version.
 
-        If not, a request must neither use nor leave blocks of the version's
-        prefix cache there: they might come from other weights.
+        If not, a request must neither read nor write the prefix cache of the
+        version there: its blocks might be computed with other weights.
         """
 
 
-def scoped_upstream(job: Job, versions: ServedVersions | None) -> UpstreamRequest:
-    """Return a placed job's request, with a salt of its own in doubtful cases."""
+def upstream_for_server(job: Job, versions: ServedVersions | None) -> UpstreamRequest:
+    """Return a placed job's request, with a random salt if the version is uncertain."""
     call = job.request.call
     if call is None or versions is None:
         return job.upstream
--- a/src/cassiaford/pipeline/_waiting.py
+++ b/src/cassiaford/pipeline/_waiting.py
@@ -1,6 +1,6 @@
-"""Jobs that wait for a backend server, and the choice of one.
+"""The jobs that wait for a backend server, and their placement.
 
-Not safe for threads by itself: the dispatcher calls it under its lock.
+Not thread-safe: the dispatcher calls it under its lock.
 """
 
 import collections
@@ -10,22 +10,22 @@
 
 from cassiaford.config import BackendServer, Configuration
 from cassiaford.pipeline._job import Job
-from cassiaford.pipeline._refusals import late_refusal, no_server_refusal
+from cassiaford.pipeline._refusals import deadline_refusal, no_server_refusal
 from cassiaford.pipeline._suspects import SuspectPolicy
 from cassiaford.pipeline._versions import ServedVersions
 from cassiaford.policy import PlacementPolicy, RequestQueue, RetryBudget, ServerHealth
 from cassiaford.settings import LimitSettings
 from cassiaford.verdict import Refusal
 
-# A request with a server to go to is given at least this time to get there.
+# The minimum time that a request with an available server may wait for it.
 MIN_WAIT_S = 0.001
 
 
 class WaitingJobs:
-    """Decides which job is sent next, and where.
+    """Decides which job is sent next, and to which server.
 
-    First come the jobs that are sent again: a resumption goes back to its
-    server at once, a retry is placed anew. Then comes the queue.
+    Jobs to be sent again come first: a resumption returns to its server
+    immediately, a retry is placed again. The queue comes second.
     """
 
     def __init__(
@@ -48,16 +48,16 @@
         self.suspects = suspects
         self.health = ServerHealth()
         self.budget = RetryBudget(now)
-        self.decision_s = 0.0
+        self.placement_s = 0.0
         self.on_sent: Callable[[str, int], None] = lambda server, tokens: None
         self.queued = {}
-        self.again = collections.deque()
+        self.resent = collections.deque()
 
     def __bool__(self) -> bool:
-        return bool(self.queued or self.again)
+        return bool(self.queued or self.resent)
 
     def offer(self, job: Job, now: float) -> Refusal | None:
-        """Take in a new job, or return why it is refused."""
+        """Queue a new job, or return why it is refused."""
         refusal = self._refuse_without_server(job, now)
         if refusal is None:
             refusal = self.queue.offer(job.ticket(), now)
@@ -65,40 +65,40 @@
             self.queued[job.request.request_id] = job
         return refusal
 
-    def offer_again(self, job: Job, now: float) -> Refusal | None:
-        """Take in a job that was sent before, or return why it is refused."""
+    def offer_resent(self, job: Job, now: float) -> Refusal | None:
+        """Queue a job that was sent before, or return why it is refused."""
         if job.resume_at is None:
-            job.deadline = min(job.give_up_at, now + self.settings.queue_wait_s)
+            job.deadline = min(job.request_deadline, now + self.settings.queue_wait_s)
             refusal = self._refuse_without_server(job, now)
             if refusal is not None:
                 return refusal
-        self.again.append(job)
+        self.resent.append(job)
         return None
 
     def take(self, now: float) -> Job | None:
-        """Remove and return the next job, placed unless its caller has left."""
-        return self._take_again(now) or self._take_queued(now)
+        """Remove and return the next job, placed unless its caller disconnected."""
+        return self._take_resent(now) or self._take_queued(now)
 
     def unwatched(self) -> list[Job]:
-        """Return the jobs that wait and whose callers are not yet watched."""
-        return [job for job in self.queued.values() if not job.opened]
+        """Return the queued jobs whose callers are not yet watched."""
+        return [job for job in self.queued.values() if not job.has_exchange]
 
     def expire(self, now: float) -> list[tuple[Job, Refusal]]:
-        """Remove the jobs past their deadline and return them with refusals."""
+        """Remove the jobs past their deadline and return them with their refusals."""
         expired = [
             self.queued.pop(ticket.request_id) for ticket in self.queue.expire(now)
         ]
-        for job in tuple(self.again):
+        for job in tuple(self.resent):
             if job.resume_at is None and job.deadline <= now:
-                self.again.remove(job)
+                self.resent.remove(job)
                 expired.append(job)
         wait_s = self.settings.queue_wait_s
-        return [(job, late_refusal(job, wait_s)) for job in expired]
+        return [(job, deadline_refusal(job, wait_s)) for job in expired]
 
-    def _take_again(self, now):
-        for job in self.again:
+    def _take_resent(self, now):
+        for job in self.resent:
             if job.abandoned or job.resume_at is not None or self._place(job, now):
-                self.again.remove(job)
+                self.resent.remove(job)
                 return job
         return None
 
@@ -113,36 +113,36 @@
         self.budget.record_first_attempt(now)
         job = self.queued.pop(ticket.request_id)
         received_at = job.request.authenticated.caller.received_at
-        job.waited(now - received_at, self.decision_s)
+        job.record_placement(now - received_at, self.placement_s)
         return job
 
     def _place(self, job, now):
-        """Choose a server for a job; the choice is made again at each look."""
+        """Choose a server for a job, anew at each call; return whether one is free."""
         servers = self._allowed_servers(job, now)
         views = self.health.views(servers, now)
         request = job.placement_request()
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         placement = self.placement.place(request, views, now, self.rng)
-        self.decision_s = time.perf_counter() - started
+        self.placement_s = time.perf_counter() - started_at
         if placement is None:
             return False
-        job.sent_to(_named(servers, placement.server))
+        job.record_attempt(_server_named(servers, placement.server))
         self.health.record_start(placement.server)
         self.placement.record_start(placement, request, now)
-        to_compute = request.prompt_tokens - placement.cached_tokens
-        self.on_sent(placement.server, to_compute)
+        prefill_tokens = request.prompt_tokens - placement.cached_tokens
+        self.on_sent(placement.server, prefill_tokens)
         if self.suspects is not None:
-            self.suspects.sent(job.request, placement.server)
+            self.suspects.record_start(job.request, placement.server)
         return True
 
     def _allowed_servers(self, job, now):
-        """Return the servers that may take a job now.
+        """Return the servers that may run a job now.
 
-        Where servers are few, suspects are kept apart only until half of their
-        time to wait is over: most crashes are no request's fault, and a
-        request is rather run beside another suspect than refused.
+        Where servers are few, suspects are kept apart only for the first half
+        of their queue wait: most crashes are not caused by a request, so a
+        request is run beside another suspect rather than refused.
         """
-        servers = self._servers(job)
+        servers = self._candidate_servers(job)
         if self.versions is not None and job.request.call is not None:
             model = job.request.call.model.name
             servers = tuple(
@@ -152,11 +152,11 @@
         if self.suspects is None or time_left_s < self.settings.queue_wait_s / 2:
             return servers
         names = tuple(server.name for server in self._configured_servers(job))
-        avoided = self.suspects.avoided(job.request, names)
+        avoided = self.suspects.servers_to_avoid(job.request, names)
         return tuple(server for server in servers if server.name not in avoided)
 
-    def _servers(self, job):
-        """Return the servers that could take a job."""
+    def _candidate_servers(self, job):
+        """Return the servers that could run a job."""
         servers = self._configured_servers(job)
         return tuple(s for s in servers if s.name not in job.excluded)
 
@@ -169,14 +169,14 @@
         return configuration.services_in(route.group)
 
     def _refuse_without_server(self, job, now):
-        """Return a refusal if no server can take a job before its deadline."""
-        servers = self._servers(job)
+        """Return a refusal if no server can run a job before its deadline."""
+        servers = self._candidate_servers(job)
         wait_s = self.health.min_backoff_remaining_s(servers, now)
         if servers and now + wait_s < max(job.deadline, now + MIN_WAIT_S):
             return None
-        held_s = self.health.max_backoff_remaining_s(job.servers, now)
-        return no_server_refusal(job, max(wait_s, held_s))
+        backoff_s = self.health.max_backoff_remaining_s(job.servers, now)
+        return no_server_refusal(job, max(wait_s, backoff_s))
 
 
-def _named(servers: tuple[BackendServer, ...], name: str) -> BackendServer:
+def _server_named(servers: tuple[BackendServer, ...], name: str) -> BackendServer:
     return next(server for server in servers if server.name == name)
