--- a/src/cassiaford/pipeline/_exchange.py
+++ b/src/cassiaford/pipeline/_exchange.py
@@ -370,10 +370,10 @@
 
     # Sockets.
 
-    def _add_socket(self, sock, protocol, ready, failed):
+    def _add_socket(self, sock, protocol, on_ready, on_failed):
         """Attach a connected socket to the event loop."""
         task = self.loop.create_task(
-            connect_socket(self.loop, sock, protocol, ready, failed)
+            connect_socket(self.loop, sock, protocol, on_ready, on_failed)
         )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/src/cassiaford/pipeline/_sockets.py
+++ b/src/cassiaford/pipeline/_sockets.py
@@ -9,18 +9,18 @@
     loop: asyncio.AbstractEventLoop,
     sock: socket.socket,
     protocol: asyncio.Protocol,
-    ready: Callable[[], None],
-    failed: Callable[[], None],
+    on_ready: Callable[[], None],
+    on_failed: Callable[[], None],
 ) -> None:
-    """Let a protocol serve a connected socket; the loop owns it from now on.
+    """Attach a connected socket to a protocol; the event loop then owns it.
 
-    Calls `ready` once the protocol has its transport. A socket that is of no
-    use any more is closed, and `failed` is called.
+    `on_ready` is called once the protocol has its transport. If the socket can
+    no longer be used, it is closed and `on_failed` is called.
     """
     try:
         await loop.connect_accepted_socket(lambda: protocol, sock)
     except (OSError, ValueError):
         sock.close()
-        failed()
+        on_failed()
     else:
-        ready()
+        on_ready()
--- a/src/cassiaford/pipeline/_upstream.py
+++ b/src/cassiaford/pipeline/_upstream.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class UpstreamRequest:
-    """A request ready to be sent to any backend server that can take it.
+    """A request ready to be sent to any suitable backend server.
 
     `hides_usage` is true if this instance, not the caller, requested the usage
     event.
