--- a/src/cassiaford/instance/_acceptance.py
+++ b/src/cassiaford/instance/_acceptance.py
@@ -1,4 +1,4 @@
-"""Accept: claim a request that runs at most once, then hand it over."""
+"""Acceptance: claims non-repeatable requests and submits all to the dispatcher."""
 
 import time
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 from cassiaford.fleet import ClaimService
 from cassiaford.instance._fingerprint import fingerprint
-from cassiaford.instance._http import Exchange
+from cassiaford.instance._http import HttpExchange
 from cassiaford.pipeline import AdmittedRequest, Dispatcher, Header, Outcome
 from cassiaford.pipeline._admit import IDEMPOTENCY_HEADER
 from cassiaford.pipeline._finalize import RequestFinalizer
@@ -19,34 +19,36 @@
 
 
 class Acceptor:
-    """Hands admitted requests to the dispatcher, claimed where they must be."""
+    """Submits admitted requests to the dispatcher, with a claim where one is needed."""
 
     def __init__(
         self,
         claims: ClaimService,
         dispatcher: Dispatcher,
-        settler: RequestFinalizer,
+        finalizer: RequestFinalizer,
         clock: Callable[[], float] = time.monotonic,
     ):
         self.claims = claims
         self.dispatcher = dispatcher
-        self.settler = settler
+        self.finalizer = finalizer
         self.clock = clock
 
-    def accept(self, request: AdmittedRequest, exchange: Exchange) -> Refusal | None:
-        """Take a request over; return a refusal if it must not run."""
+    def accept(
+        self, request: AdmittedRequest, exchange: HttpExchange
+    ) -> Refusal | None:
+        """Submit a request; return a refusal if it must not run."""
         if request.repeatable:
-            self.dispatcher.submit(request, exchange.detach(), self.settler.finalize)
+            self.dispatcher.submit(request, exchange.detach(), self.finalizer.finalize)
             return None
-        answer = self._claim(request)
-        if isinstance(answer, Claim):
-            self._submit_claimed(request, answer, exchange)
+        result = self._claim(request)
+        if isinstance(result, Claim):
+            self._submit_claimed(request, result, exchange)
             return None
-        self.settler.refund_all(request)
-        if isinstance(answer, RecordedOutcome):
-            _replay(answer, exchange)
+        self.finalizer.refund_all(request)
+        if isinstance(result, RecordedOutcome):
+            _replay(result, exchange)
             return None
-        return answer
+        return result
 
     def _claim(self, request):
         caller = request.authenticated.caller
@@ -62,12 +64,12 @@
         )
 
     def _submit_claimed(self, request, claim, exchange):
-        def settle(settled: AdmittedRequest, outcome: Outcome) -> None:
+        def finalize(finished: AdmittedRequest, outcome: Outcome) -> None:
             self.claims.record(claim, outcome)
-            self.settler.finalize(settled, outcome)
+            self.finalizer.finalize(finished, outcome)
 
         claimed = replace(request, start_by=claim.start_by)
-        self.dispatcher.submit(claimed, exchange.detach(), settle)
+        self.dispatcher.submit(claimed, exchange.detach(), finalize)
 
 
 def _replay(outcome, exchange):
@@ -78,4 +80,4 @@
     ]
     if outcome.content_type:
         headers.append(Header("Content-Type", outcome.content_type))
-    exchange.answer(outcome.status, headers, outcome.body)
+    exchange.respond(outcome.status, headers, outcome.body)
--- a/src/cassiaford/instance/_crashes.py
+++ b/src/cassiaford/instance/_crashes.py
@@ -1,4 +1,4 @@
-"""Reporting to the fleet which requests were running when servers crashed."""
+"""Reports to the fleet of the requests that were running when servers crashed."""
 
 import threading
 
@@ -11,17 +11,17 @@
 
 
 class CrashMonitor(SuspectPolicy, EngineObserver):
-    """Names the requests that were running on a server when it crashed.
+    """Reports the requests that were running on a server when it crashed.
 
-    It stands between the poller and the dispatcher to learn the incarnations
-    of the engines, by which instances recognise the same crash.
+    It observes engines ahead of the dispatcher to record their incarnations,
+    by which several instances identify the same crash.
     """
 
     def __init__(self, registry: SuspectRegistry):
         self.registry = registry
         self.observer: EngineObserver | None = None
         self.incarnations: dict[str, str] = {}
-        self.running: dict[str, set[str]] = {}
+        self.running_suspects: dict[str, set[str]] = {}
         self._lock = threading.Lock()
 
     def refusal(self, request: AdmittedRequest) -> Refusal | None:
@@ -37,62 +37,66 @@
         )
 
     def record_crash(self, request: AdmittedRequest, server: str) -> None:
-        """Take note that a server's connection broke while it ran a request."""
-        # Reported at once, since the next attempt may follow within
-        # milliseconds; reports of one incarnation's crash add up.
+        """Record that a server's connection broke while it ran a request."""
+        # Reported immediately, since the next attempt may follow within
+        # milliseconds. The reports on one incarnation are merged.
         self.registry.record_crash(
             server, (fingerprint(request),), self.incarnations.get(server, "")
         )
 
     def record_completion(self, request: AdmittedRequest) -> None:
-        """Clear a request that has run to its end."""
+        """Clear the suspicion of a request that ran to completion."""
         if self.registry.has_suspects():
             self.registry.record_completion(fingerprint(request))
 
     def servers_to_avoid(
         self, request: AdmittedRequest, servers: tuple[str, ...]
     ) -> frozenset[str]:
-        """Return the servers with another suspect, and those left to peers."""
-        name = self._suspect_name(request)
-        if not name:
+        """Return the servers that run another suspect or are assigned to peers."""
+        suspect = self._suspect_fingerprint(request)
+        if not suspect:
             return frozenset()
         with self._lock:
-            occupied = {s for s, names in self.running.items() if names - {name}}
+            occupied = {
+                s
+                for s, suspects in self.running_suspects.items()
+                if suspects - {suspect}
+            }
         instances = self.registry.instances()
-        own = servers_for_suspects(servers, instances, self.registry.instance)
-        return frozenset(servers) - (own - occupied)
+        assigned = servers_for_suspects(servers, instances, self.registry.instance)
+        return frozenset(servers) - (assigned - occupied)
 
     def record_start(self, request: AdmittedRequest, server: str) -> None:
-        """Take note that a request was sent to a server."""
-        name = self._suspect_name(request)
-        if name:
+        """Record that a request was sent to a server."""
+        suspect = self._suspect_fingerprint(request)
+        if suspect:
             with self._lock:
-                self.running.setdefault(server, set()).add(name)
+                self.running_suspects.setdefault(server, set()).add(suspect)
 
     def record_end(self, request: AdmittedRequest, server: str) -> None:
-        """Take note that a request no longer runs on a server."""
+        """Record that a request no longer runs on a server."""
         with self._lock:
-            if server not in self.running:
+            if server not in self.running_suspects:
                 return
-            self.running[server].discard(fingerprint(request))
-            if not self.running[server]:
-                del self.running[server]
+            self.running_suspects[server].discard(fingerprint(request))
+            if not self.running_suspects[server]:
+                del self.running_suspects[server]
 
     def observe_load(self, server: str, report: LoadReport) -> None:
-        """Learn the engine's incarnation and pass the report on."""
+        """Record the engine's incarnation and forward the report."""
         self.incarnations[server] = report.incarnation
         self.observer.observe_load(server, report)
 
     def observe_events(self, server: str, events: CacheEvents) -> None:
-        """Pass cache events on."""
+        """Forward cache events."""
         self.observer.observe_events(server, events)
 
     def forget(self, server: str) -> None:
-        """Pass on that a server left or came back empty."""
+        """Forward that a server left or restarted."""
         self.observer.forget(server)
 
-    def _suspect_name(self, request):
+    def _suspect_fingerprint(self, request):
         if not self.registry.has_suspects():
             return ""
-        name = fingerprint(request)
-        return name if self.registry.is_suspect(name) else ""
+        suspect = fingerprint(request)
+        return suspect if self.registry.is_suspect(suspect) else ""
--- a/src/cassiaford/instance/_fingerprint.py
+++ b/src/cassiaford/instance/_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two arrivals the same request."""
+"""Fingerprints by which repeated requests are recognized."""
 
 import xxhash
 
@@ -6,9 +6,9 @@
 
 
 def fingerprint(request: AdmittedRequest) -> str:
-    """Return the fingerprint of a request: its customer and what it asks.
+    """Return a hash of a request's customer, method, target and body.
 
-    The same request sent again, through whichever instance, has the same one.
+    The same request has the same fingerprint on all instances.
     """
     caller = request.authenticated.caller
     digest = xxhash.xxh3_128()
@@ -18,5 +18,5 @@
     return digest.hexdigest()
 
 
-def _with_length(part):
-    return len(part).to_bytes(8, "big") + part
+def _with_length(data):
+    return len(data).to_bytes(8, "big") + data
--- a/src/cassiaford/instance/_handler.py
+++ b/src/cassiaford/instance/_handler.py
@@ -1,9 +1,9 @@
-"""The handler of one request: local answers, then the pipeline's intake."""
+"""The handling of a request up to its submission to the dispatcher."""
 
 import time
 from collections.abc import Callable, Sequence
 
-from cassiaford.instance._http import Exchange
+from cassiaford.instance._http import HttpExchange
 from cassiaford.instance._local import LocalEndpoints
 from cassiaford.logs import Event
 from cassiaford.metrics import DurationMetric, Metrics
@@ -20,10 +20,10 @@
 
 
 class RequestHandler:
-    """Takes each request as far as the dispatcher.
+    """Responds to local requests and submits all others to the dispatcher.
 
-    `accept` hands an admitted request over; it returns a refusal if the
-    request must not be handed over after all.
+    `accept` submits an admitted request; it returns a refusal if the request
+    must not run after all.
     """
 
     def __init__(
@@ -31,8 +31,8 @@
         receive: ReceiveFilter,
         local: LocalEndpoints,
         intake: Sequence[Filter],
-        accept: Callable[[AdmittedRequest, Exchange], Refusal | None],
-        settler: RequestFinalizer,
+        accept: Callable[[AdmittedRequest, HttpExchange], Refusal | None],
+        finalizer: RequestFinalizer,
         metrics: Metrics,
         journal: Journal,
     ):
@@ -40,22 +40,22 @@
         self.local = local
         self.intake = intake
         self.accept = accept
-        self.settler = settler
+        self.finalizer = finalizer
         self.metrics = metrics
         self.journal = journal
 
-    def handle(self, exchange: Exchange) -> None:
-        """Answer a request, or hand it to the dispatcher."""
+    def handle(self, exchange: HttpExchange) -> None:
+        """Respond to a request or submit it to the dispatcher."""
         try:
             self._handle(exchange)
         except Exception as error:
-            # A fault of ours must not reach the caller as a broken connection.
+            # An internal error must not appear to the caller as a broken connection.
             self.journal.record(
                 Event.BACKGROUND_TASK_FAILED,
                 error=type(error).__name__,
                 text=str(error)[:300],
             )
-            if not exchange.answered:
+            if not exchange.responded:
                 refusal = refuse(RefusalReason.INTERNAL, "internal error")
                 exchange.refuse(refusal, "")
 
@@ -65,15 +65,15 @@
         if isinstance(caller, Refusal):
             exchange.refuse(caller, "")
             return
-        answer = self.local.answer(caller)
-        if answer is None:
-            self._take_in(caller, exchange)
-        elif isinstance(answer, Refusal):
-            exchange.refuse(answer, caller.request_id)
+        response = self.local.respond(caller)
+        if response is None:
+            self._admit(caller, exchange)
+        elif isinstance(response, Refusal):
+            exchange.refuse(response, caller.request_id)
         else:
-            exchange.answer(answer.status, answer.headers, answer.body)
+            exchange.respond(response.status, response.headers, response.body)
 
-    def _take_in(self, caller: CallerRequest, exchange):
+    def _admit(self, caller: CallerRequest, exchange):
         message, customer_name = caller, ""
         for step in self.intake:
             message = step.process(message)
@@ -88,5 +88,5 @@
             )
             refusal = self.accept(message, exchange)
         if refusal is not None:
-            self.settler.finalize_refused(caller, customer_name, refusal)
+            self.finalizer.finalize_refused(caller, customer_name, refusal)
             exchange.refuse(refusal, caller.request_id)
--- a/src/cassiaford/instance/_http.py
+++ b/src/cassiaford/instance/_http.py
@@ -1,11 +1,11 @@
-"""The HTTP server towards callers, by cheroot.
-
-A cheroot thread carries a request up to the point where it is handed to the
-dispatcher together with the caller's socket; the thread is then free. Two
-traits of cheroot matter here. A socket closed under a worker kills the worker,
-so a detached socket is a duplicate and closing never raises. And cheroot shuts
-a connection down when it closes it, which would cut the duplicate too, unless
-the connection lingers.
+"""The HTTP server for callers, based on cheroot.
+
+A cheroot worker thread handles a request until it is submitted to the dispatcher
+together with the caller's socket; the thread is then free. cheroot has two
+pitfalls. Closing a socket that a worker uses kills the worker thread, so a
+detached socket is a duplicate, and closing never raises. And cheroot shuts a
+connection down before closing it, which would also end the duplicate, unless the
+connection's `linger` flag is set.
 """
 
 import contextlib
@@ -27,9 +27,9 @@
 from cassiaford.verdict import Refusal, RefusalReason, refuse
 
 READ_CHUNK_BYTES = 64 * 1024
-SWEEP_INTERVAL_S = 0.25
-# An idle kept connection is closed after this time.
-KEEP_ALIVE_S = 30
+RECEIVE_CHECK_INTERVAL_S = 0.25
+# Idle persistent connections are closed after this time.
+KEEP_ALIVE_TIMEOUT_S = 30
 _REASONS_BY_STATUS = {
     "400": RefusalReason.BAD_REQUEST,
     "405": RefusalReason.METHOD_NOT_ALLOWED,
@@ -42,15 +42,15 @@
 }
 
 
-class Exchange:
-    """One request and the means to answer it."""
+class HttpExchange:
+    """One request, and the methods to respond to it."""
 
     def __init__(self, request: "_Request"):
         self.request = request
-        self.answered = False
+        self.responded = False
 
     def receive(self) -> RawRequest | Refusal:
-        """Return the request with its body, or a refusal of a bad body."""
+        """Return the request with its body, or a refusal if the body is invalid."""
         request = self.request
         if request.declared_length() is None:
             return refuse(RefusalReason.BAD_REQUEST, "malformed Content-Length")
@@ -59,32 +59,32 @@
         except errors.MaxSizeExceeded:
             return refuse(RefusalReason.BODY_TOO_LARGE, "the body is too large")
         except (OSError, ValueError):
-            return _half_a_request(request)
+            return _incomplete_request(request)
         if len(body) < request.declared_length():
-            return _half_a_request(request)
+            return _incomplete_request(request)
         request.conn.finish_receiving()
         return RawRequest(
             method=request.method.decode("latin-1"),
             target=request.uri.decode("latin-1"),
             headers=request.header_list(),
-            received_at=request.conn.receiving_since,
+            received_at=request.conn.receive_started_at,
             body=body,
         )
 
-    def answer(self, status: int, headers: Sequence[Header], body: bytes) -> None:
-        """Send a whole answer; the connection may be kept."""
-        self.answered = True
-        self.request.send_answer(status, headers, body)
+    def respond(self, status: int, headers: Sequence[Header], body: bytes) -> None:
+        """Send a complete response; the connection may be kept open."""
+        self.responded = True
+        self.request.send_response(status, headers, body)
 
     def refuse(self, refusal: Refusal, request_id: str) -> None:
         """Send a refusal."""
         headers = refusal_headers(refusal, request_id)
         body = refusal_body(refusal, request_id)
-        self.answer(refusal.reason.status, headers, body)
+        self.respond(refusal.reason.status, headers, body)
 
     def detach(self) -> socket.socket:
-        """Return the caller's socket; the caller of this method owns it."""
-        self.answered = True
+        """Return a duplicate of the caller's socket, which the new owner must close."""
+        self.responded = True
         connection = self.request.conn
         duplicate = connection.socket.dup()
         connection.linger = True
@@ -94,21 +94,21 @@
 
 
 class _Request(server.HTTPRequest):
-    """A request whose errors have the interface's JSON form."""
+    """A request whose errors are sent as JSON in the format of the OpenAI API."""
 
     # Empty until the request line has been read.
     method = b""
 
     def simple_response(self, status, msg=""):
-        """Send an error that cheroot itself found."""
+        """Send an error that cheroot itself detected."""
         self.close_connection = True
         refusal = self._refusal_for(str(status), msg)
         body = refusal_body(refusal, "")
         headers = refusal_headers(refusal, "")
-        self.send_answer(refusal.reason.status, headers, body)
+        self.send_response(refusal.reason.status, headers, body)
 
-    def send_answer(self, status, headers, body):
-        """Send a head and a body; a caller that is gone is no error."""
+    def send_response(self, status, headers, body):
+        """Send a head and a body; ignore a caller that has disconnected."""
         self.sent_headers = True
         closing = self.close_connection or self.server.draining
         self.close_connection = closing
@@ -127,12 +127,12 @@
 
     def _refusal_for(self, status, msg):
         if self.conn.timed_out:
-            return _half_a_request(self)
+            return _incomplete_request(self)
         reason = _REASONS_BY_STATUS.get(status[:3], RefusalReason.BAD_REQUEST)
         return refuse(reason, str(msg) or status[4:])
 
     def declared_length(self):
-        """Return the Content-Length, 0 without one, None if it is malformed."""
+        """Return the Content-Length: 0 if absent, None if malformed."""
         text = self.inheaders.get(b"Content-Length", b"0").strip()
         if not text.isdigit() or (self.chunked_read and text != b"0"):
             return None
@@ -147,27 +147,27 @@
 
 
 class _Connection(server.HTTPConnection):
-    """A connection that knows since when it has been receiving a request."""
+    """A connection that records when it started to receive a request."""
 
     RequestHandlerClass = _Request
-    receiving_since = 0.0
+    receive_started_at = 0.0
     timed_out = False
 
     def communicate(self):
         """Serve one request."""
-        self.receiving_since = time.monotonic()
-        self.server.receiving.add(self)
+        self.receive_started_at = time.monotonic()
+        self.server.receiving_connections.add(self)
         try:
             return super().communicate()
         finally:
             self.finish_receiving()
 
     def finish_receiving(self):
-        """Take note that the whole request has arrived."""
-        self.server.receiving.discard(self)
+        """Record that the request was received completely."""
+        self.server.receiving_connections.discard(self)
 
     def stop_receiving(self):
-        """End the wait of the thread that reads from this connection."""
+        """Unblock the thread that reads from this connection."""
         self.timed_out = True
         try:
             self.socket.shutdown(socket.SHUT_RD)
@@ -175,32 +175,32 @@
             self.finish_receiving()
 
     def close(self):
-        """Close the connection; never raise, since that ends the worker."""
+        """Close the connection without raising, which would end the worker thread."""
         with contextlib.suppress(OSError):
             super().close()
-        # A lingering socket is otherwise closed by the garbage collector, and
-        # the caller would wait for the end of its stream until then.
+        # With `linger` set, only garbage collection would close this socket, and
+        # the caller would not see the end of its stream until then.
         with contextlib.suppress(OSError):
             self.socket.close()
 
 
 class _Gateway(server.Gateway):
-    """Hands each request to the server's handler."""
+    """Passes each request to the server's handler."""
 
     def respond(self):
-        """Have the request handled."""
-        exchange = Exchange(self.req)
+        """Call the handler for the request."""
+        exchange = HttpExchange(self.req)
         self.req.server.handle(exchange)
-        if not exchange.answered:
+        if not exchange.responded:
             refusal = refuse(RefusalReason.INTERNAL, "the request was not handled")
             exchange.refuse(refusal, "")
 
 
 class CallerServer(server.HTTPServer):
-    """Serves callers and hands each request to a handler.
+    """Serves callers and passes each request to a handler.
 
     A request that takes longer than `receive_timeout_s` to arrive is refused,
-    however steadily its bytes come in.
+    even if its bytes keep arriving.
     """
 
     ConnectionClass = _Connection
@@ -208,8 +208,8 @@
     def __init__(
         self,
         settings: HttpSettings,
-        handle: Callable[[Exchange], None],
-        report: Callable[[str], None],
+        handle: Callable[[HttpExchange], None],
+        on_error: Callable[[str], None],
     ):
         host, _, port = settings.address.rpartition(":")
         super().__init__(
@@ -220,11 +220,11 @@
             server_name="cassiaford",
         )
         self.handle = handle
-        self.report = report
+        self.on_error = on_error
         self.draining = False
-        self.receiving = set()
+        self.receiving_connections = set()
         self.receive_timeout_s = settings.receive_timeout_s
-        self.timeout = KEEP_ALIVE_S
+        self.timeout = KEEP_ALIVE_TIMEOUT_S
         self.shutdown_timeout = 1
         self.request_queue_size = 512
         self.max_request_body_size = settings.max_body_bytes
@@ -234,30 +234,33 @@
     def start_serving(self) -> None:
         """Open the port and serve in background threads."""
         self.prepare()
-        for target in (self.serve, self._sweep):
+        for target in (self.serve, self._check_receive_timeouts):
             thread = threading.Thread(target=target, daemon=True)
             thread.start()
             self.threads.append(thread)
 
     def stop_serving(self) -> None:
-        """Close the port; connections that are being served go on."""
+        """Close the port; connections in use are served to their end."""
         if self.ready:
             self.stop()
 
     def error_log(self, msg="", level=20, traceback=False):
-        """Report an error that cheroot met."""
+        """Report an error that cheroot logged."""
         if level >= 40:
-            self.report(str(msg)[:500])
+            self.on_error(str(msg)[:500])
 
-    def _sweep(self):
+    def _check_receive_timeouts(self):
         while self.ready:
-            time.sleep(SWEEP_INTERVAL_S)
-            oldest = time.monotonic() - self.receive_timeout_s
-            for connection in tuple(self.receiving):
-                if connection.receiving_since < oldest:
+            time.sleep(RECEIVE_CHECK_INTERVAL_S)
+            earliest_start = time.monotonic() - self.receive_timeout_s
+            for connection in tuple(self.receiving_connections):
+                if connection.receive_started_at < earliest_start:
                     connection.stop_receiving()
 
 
-def _half_a_request(request):
+def _incomplete_request(request):
     request.close_connection = True
-    return refuse(RefusalReason.REQUEST_TIMEOUT, "the request did not arrive whole")
+    return refuse(
+        RefusalReason.REQUEST_TIMEOUT,
+        "the request was not received completely",
+    )
--- a/src/cassiaford/instance/_instance.py
+++ b/src/cassiaford/instance/_instance.py
@@ -1,4 +1,4 @@
-"""One entry instance: its parts wired together, started and stopped."""
+"""An entry instance: creates, starts and stops all of its components."""
 
 import random
 import threading
@@ -34,18 +34,19 @@
 
 POLL_INTERVAL_S = 0.5
 POLL_TIMEOUT_S = 1.0
-READY_CHECK_S = 0.02
-# A holder that is gone never answers; readiness does not wait longer for it.
-# One that started just before calls again after a period of membership.
-SHARES_WAIT_S = 1.5
+READY_CHECK_INTERVAL_S = 0.02
+# The readiness check waits no longer for the other holders of rate shares: one
+# that is gone never replies, and one that has just started makes contact again
+# after a membership period.
+MAX_SHARES_WAIT_S = 1.5
 STOP_TIMEOUT_S = 5.0
 
 
 class Instance(InstanceView):
     """An entry instance.
 
-    `start` returns once the instance is ready to serve; `drain` is the
-    graceful shutdown and returns the number of requests that it had to cut.
+    `start` returns once the instance is ready to serve. `drain` is the graceful
+    shutdown, which returns the number of requests that it had to abort.
     """
 
     def __init__(self, settings: Settings, incarnation: int):
@@ -57,24 +58,24 @@
         self.stopping = threading.Event()
         self.is_ready = False
         self.is_draining = False
-        self._opening = threading.Lock()
+        self._open_lock = threading.Lock()
         self._create_fleet()
-        self._create_dispatch()
-        self._create_front()
+        self._create_dispatcher()
+        self._create_server()
 
     @property
     def configuration(self):
-        """The configuration in force."""
+        """The current configuration."""
         return self.fleet.configuration.current
 
     @property
     def ready(self):
-        """Whether the instance takes requests."""
+        """Whether the instance accepts requests."""
         return self.is_ready
 
     @property
     def draining(self):
-        """Whether a graceful shutdown has started."""
+        """Whether a graceful shutdown was started."""
         return self.is_draining
 
     @property
@@ -91,7 +92,7 @@
         return self.fleet.entry_instances(customer, data_centre)
 
     def start(self) -> None:
-        """Start all parts; return when the instance is ready to serve."""
+        """Start all components; return when the instance is ready to serve."""
         self.journal.record(Event.INSTANCE_STARTED, incarnation=self.incarnation)
         self.fleet.start()
         self.limiter.start()
@@ -102,38 +103,38 @@
         self.orders.start()
         self._wait_until_ready()
         # A graceful shutdown may have started before the port was opened.
-        with self._opening:
+        with self._open_lock:
             if not self.is_draining and not self.stopping.is_set():
                 self._open()
 
     def drain(self) -> int:
         """Leave the fleet, finish accepted requests, and stop.
 
-        Callers may use an answer of the lookup until its age limit, so new
-        requests are served for that long after this instance left it.
+        Callers may use a lookup result until its maximum age, so new requests
+        are served for that long after this instance has left the fleet.
         """
-        with self._opening:
+        with self._open_lock:
             self.is_draining = True
         self.journal.record(Event.DRAIN_STARTED, in_flight=self.in_flight)
         self.server.draining = True
         self.fleet.leave()
         self.stopping.wait(self.settings.limits.lookup_max_age_s)
         self.server.stop_serving()
-        cut = self.dispatcher.drain(self.settings.limits.drain_timeout_s)
+        aborted = self.dispatcher.drain(self.settings.limits.drain_timeout_s)
         self.stop()
-        event = Event.DRAIN_CUT_SHORT if cut else Event.DRAIN_FINISHED
-        self.journal.record(event, cut=cut)
-        return cut
+        event = Event.DRAIN_CUT_SHORT if aborted else Event.DRAIN_FINISHED
+        self.journal.record(event, cut=aborted)
+        return aborted
 
     def abort_drain(self) -> None:
-        """End the wait of a graceful shutdown, cutting what still runs."""
+        """End a graceful shutdown early by aborting the remaining requests."""
         self.stopping.set()
         self.dispatcher.abort_drain()
 
     def stop(self) -> None:
-        """Stop all parts; what is still running is cut.
+        """Stop all components and abort the remaining requests.
 
-        Every part is stopped, whatever the others do. Raises `ExceptionGroup`
+        Each component is stopped even if others fail to. Raises `ExceptionGroup`
         with the errors of those that failed.
         """
         self.stopping.set()
@@ -150,7 +151,7 @@
         )
         errors = [error for step in steps if (error := _error_of(step))]
         if errors:
-            raise ExceptionGroup("parts that failed to stop", errors)
+            raise ExceptionGroup("components failed to stop", errors)
 
     def _open(self):
         self.server.start_serving()
@@ -198,12 +199,12 @@
         self.fleet.on_departure(self.claims.mark_gone)
         self.fleet.on_departure(self.limiter.mark_gone)
 
-    def _create_dispatch(self):
+    def _create_dispatcher(self):
         settings = self.settings
         self.crashes = CrashMonitor(self.suspects)
         self.dispatcher = create_dispatcher(
             settings.limits,
-            self._current,
+            self._current_configuration,
             create_placement(),
             self.journal,
             random.Random(f"{settings.instance}/{self.incarnation}/dispatch"),
@@ -219,7 +220,7 @@
         self.crashes.observer = self.dispatcher
         self.orders.observer = self.crashes
         self.poller = create_poller(
-            self._current,
+            self._current_configuration,
             create_engine_control(POLL_TIMEOUT_S),
             self.orders,
             self.journal,
@@ -227,12 +228,12 @@
         )
         self.orders.poll_interval_s = self.poller.poll_interval_s
 
-    def _create_front(self):
+    def _create_server(self):
         settings = self.settings
-        settler = RequestFinalizer(
+        finalizer = RequestFinalizer(
             self.limiter, self.metrics, self.journal, self.crashes.record_completion
         )
-        authenticate = AuthenticateFilter(self._current, self._is_fresh)
+        authenticate = AuthenticateFilter(self._current_configuration, self._is_fresh)
         local = LocalEndpoints(
             self,
             authenticate,
@@ -244,15 +245,20 @@
         handler = RequestHandler(
             ReceiveFilter(),
             local,
-            (authenticate, AdmitFilter(self._current, self.limiter, settings.limits)),
-            Acceptor(self.claims, self.dispatcher, settler).accept,
-            settler,
+            (
+                authenticate,
+                AdmitFilter(self._current_configuration, self.limiter, settings.limits),
+            ),
+            Acceptor(self.claims, self.dispatcher, finalizer).accept,
+            finalizer,
             self.metrics,
             self.journal,
         )
-        self.server = CallerServer(settings.http, handler.handle, self._server_failed)
+        self.server = CallerServer(
+            settings.http, handler.handle, self._record_server_error
+        )
 
-    def _current(self):
+    def _current_configuration(self):
         return self.fleet.configuration.current
 
     def _is_fresh(self):
@@ -264,20 +270,20 @@
 
     def _wait_until_ready(self):
         while not self.fleet.configuration.is_ready() and not self.stopping.is_set():
-            self.stopping.wait(READY_CHECK_S)
-        # A request that comes before the other holders of rate shares are
-        # known would be refused, though its customer has tokens.
-        patience = time.monotonic() + SHARES_WAIT_S
-        while not self.limiter.is_connected() and time.monotonic() < patience:
-            if self.stopping.wait(READY_CHECK_S):
+            self.stopping.wait(READY_CHECK_INTERVAL_S)
+        # Until the other holders of rate shares are connected, a request would
+        # be refused although its customer has tokens.
+        deadline = time.monotonic() + MAX_SHARES_WAIT_S
+        while not self.limiter.is_connected() and time.monotonic() < deadline:
+            if self.stopping.wait(READY_CHECK_INTERVAL_S):
                 return
 
-    def _server_failed(self, text):
+    def _record_server_error(self, text):
         self.journal.record(Event.BACKGROUND_TASK_FAILED, part="http", text=text)
 
 
 def _error_of(step):
-    """Return the error that a step raises, or None."""
+    """Return the exception that a step raises, or None."""
     try:
         step()
     except Exception as error:
@@ -289,6 +295,6 @@
     """Return an instance with these settings, not yet started.
 
     The incarnation is the time of creation in milliseconds, so that it is
-    higher than any before it.
+    higher than that of any earlier process.
     """
     return Instance(settings, int(time.time() * 1000))
--- a/src/cassiaford/instance/_local.py
+++ b/src/cassiaford/instance/_local.py
@@ -1,4 +1,4 @@
-"""The answers that an instance gives by itself, without a backend server."""
+"""The endpoints that an instance serves itself, without a backend server."""
 
 import hmac
 import json
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True)
-class LocalAnswer:
-    """An answer that the instance gives by itself."""
+class LocalResponse:
+    """A response that the instance creates itself."""
 
     status: int
     body: bytes = field(repr=False)
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Query:
-    """The parameters of a local request."""
+    """The query parameters of a local request."""
 
     customer: str = ""
     data_centre: str = ""
@@ -38,22 +38,22 @@
 
 
 class InstanceView(ABC):
-    """What the local answers need to know about the instance."""
+    """The state of the instance that the local endpoints report."""
 
     @property
     @abstractmethod
     def configuration(self) -> Configuration:
-        """The configuration in force."""
+        """The current configuration."""
 
     @property
     @abstractmethod
     def ready(self) -> bool:
-        """Whether the instance takes requests."""
+        """Whether the instance accepts requests."""
 
     @property
     @abstractmethod
     def draining(self) -> bool:
-        """Whether a graceful shutdown has started."""
+        """Whether a graceful shutdown was started."""
 
     @property
     @abstractmethod
@@ -70,7 +70,7 @@
 
 
 class LocalEndpoints:
-    """Answers for health, metrics, models, lookup, status and time line."""
+    """Serves health, metrics, models, entry lookup, status and time line."""
 
     def __init__(
         self,
@@ -98,28 +98,30 @@
             OPERATOR_PREFIX + "timeline": self._timeline,
         }
 
-    def answer(self, caller: CallerRequest) -> LocalAnswer | Refusal | None:
-        """Return the answer, or None if the path is not a local one."""
+    def respond(self, caller: CallerRequest) -> LocalResponse | Refusal | None:
+        """Return the response, or None if the path is not a local one."""
         path = caller.path
         if path == "/v1/models" or path.startswith("/v1/models/"):
-            return self._reading(caller) or self._models(caller)
+            return self._method_refusal(caller) or self._models(caller)
         if path in self.open_paths:
-            return self._reading(caller) or self._call(self.open_paths[path], caller)
+            return self._method_refusal(caller) or self._call_endpoint(
+                self.open_paths[path], caller
+            )
         if path in self.operator_paths:
-            refusal = self._reading(caller) or self._operator_refusal(caller)
-            return refusal or self._call(self.operator_paths[path], caller)
+            refusal = self._method_refusal(caller) or self._operator_refusal(caller)
+            return refusal or self._call_endpoint(self.operator_paths[path], caller)
         if path.startswith(OPERATOR_PREFIX):
             return refuse(RefusalReason.UNKNOWN_ROUTE, f"no such path: {path[:200]}")
         return None
 
-    def _call(self, endpoint, caller):
+    def _call_endpoint(self, endpoint, caller):
         try:
             query = _parse_query(caller.target)
         except ValueError as error:
             return refuse(RefusalReason.BAD_REQUEST, str(error))
         return endpoint(query)
 
-    def _reading(self, caller):
+    def _method_refusal(self, caller):
         if caller.method in ("GET", "HEAD"):
             return None
         return refuse(RefusalReason.METHOD_NOT_ALLOWED, "only GET is allowed here")
@@ -132,12 +134,12 @@
         return refuse(RefusalReason.INVALID_KEY, "the operator's token is required")
 
     def _health(self, query):
-        return _json_answer({"status": "ok"})
+        return _json_response({"status": "ok"})
 
     def _readiness(self, query):
         ready = self.view.ready and not self.view.draining
         state = {"ready": ready, "draining": self.view.draining}
-        return _json_answer(state, 200 if ready else 503)
+        return _json_response(state, 200 if ready else 503)
 
     def _metrics_text(self, query):
         self.metrics.set_gauge("cassiaford_requests_in_flight", self.view.in_flight)
@@ -145,20 +147,20 @@
             "cassiaford_configuration_revision", self.view.configuration.revision
         )
         body = self.metrics.render().encode()
-        return LocalAnswer(200, body, (Header("Content-Type", METRICS_TYPE),))
+        return LocalResponse(200, body, (Header("Content-Type", METRICS_TYPE),))
 
     def _entries(self, query):
         members = self.view.entries(query.customer, query.data_centre)
-        answer = {
+        document = {
             "entries": [_member_fields(member) for member in members],
             "max_age_s": self.max_age_s,
             "revision": self.view.configuration.revision,
         }
-        cache = Header("Cache-Control", f"max-age={int(self.max_age_s)}")
-        return _json_answer(answer, headers=(cache,))
+        cache_control = Header("Cache-Control", f"max-age={int(self.max_age_s)}")
+        return _json_response(document, headers=(cache_control,))
 
     def _status(self, query):
-        return _json_answer(
+        return _json_response(
             {
                 "instance": self.journal.instance,
                 "incarnation": self.journal.incarnation,
@@ -176,21 +178,23 @@
             for record in self.journal.snapshot()
             if _matches(record, query)
         ]
-        return _json_answer({"instance": self.journal.instance, "records": records})
+        return _json_response({"instance": self.journal.instance, "records": records})
 
     def _models(self, caller):
         customer = self.authenticate.find_customer(caller, self.view.configuration)
         if isinstance(customer, Refusal):
             return customer
-        known = self.view.configuration.models
-        names = [name for name in customer.models if name in known]
-        wanted = caller.path.removeprefix("/v1/models").strip("/")
-        if not wanted:
+        configured = self.view.configuration.models
+        names = [name for name in customer.models if name in configured]
+        requested = caller.path.removeprefix("/v1/models").strip("/")
+        if not requested:
             listing = [_model_fields(name) for name in names]
-            return _json_answer({"object": "list", "data": listing})
-        if wanted in names:
-            return _json_answer(_model_fields(wanted))
-        return refuse(RefusalReason.UNKNOWN_MODEL, f"no model named {wanted[:100]!r}")
+            return _json_response({"object": "list", "data": listing})
+        if requested in names:
+            return _json_response(_model_fields(requested))
+        return refuse(
+            RefusalReason.UNKNOWN_MODEL, f"no model named {requested[:100]!r}"
+        )
 
 
 def _matches(record, query):
@@ -203,13 +207,13 @@
 
 def _parse_query(target):
     values = parse_qs(urlsplit(target).query, max_num_fields=16)
-    given = {name: values[name][-1] for name in values}
-    unknown = sorted(set(given) - {"customer", "data_centre", "request", "since"})
+    parameters = {name: values[name][-1] for name in values}
+    unknown = sorted(set(parameters) - {"customer", "data_centre", "request", "since"})
     if unknown:
         raise ValueError(f"unknown parameter {unknown[0][:50]!r}")
-    since = given.pop("since", "0")
+    since = parameters.pop("since", "0")
     try:
-        return Query(since=float(since), **given)
+        return Query(since=float(since), **parameters)
     except ValueError:
         raise ValueError("'since' must be a number of seconds") from None
 
@@ -229,6 +233,8 @@
     return {"id": name, "object": "model", "created": 0, "owned_by": "cassiaford"}
 
 
-def _json_answer(document, status=200, headers=()):
+def _json_response(document, status=200, headers=()):
     content_type = Header("Content-Type", JSON_TYPE)
-    return LocalAnswer(status, json.dumps(document).encode(), (content_type, *headers))
+    return LocalResponse(
+        status, json.dumps(document).encode(), (content_type, *headers)
+    )
