--- a/src/cassiaford/engines/_poller.py
+++ b/src/cassiaford/engines/_poller.py
@@ -46,7 +46,7 @@
         """Process cache events."""
 
     @abstractmethod
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Discard the state of an engine that left or restarted."""
 
 
@@ -181,7 +181,7 @@
     def _update_address(self):
         desired = self.desired_address
         if self.address not in (None, desired):
-            self.poller.observer.forget(self.server)
+            self.poller.observer.remove_server(self.server)
             self._reset(None)
         self.address = desired
 
@@ -208,7 +208,7 @@
             return
         if self.incarnation is not None:
             self._record(Event.ENGINE_RESTARTED, incarnation=incarnation)
-            self.poller.observer.forget(self.server)
+            self.poller.observer.remove_server(self.server)
         self._reset(incarnation)
 
     def _reset(self, incarnation):
--- a/src/cassiaford/fleet/_orders.py
+++ b/src/cassiaford/fleet/_orders.py
@@ -131,11 +131,11 @@
         """Pass cache events on."""
         self.observer.observe_events(server, events)
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Remove the state of an engine, and pass the call on."""
         with self._lock:
             self.orderer.remove_server(server)
-        self.observer.forget(server)
+        self.observer.remove_server(server)
 
     def tick(self) -> None:
         """Read the table and perform the steps that are due now."""
--- a/src/cassiaford/instance/_crashes.py
+++ b/src/cassiaford/instance/_crashes.py
@@ -91,9 +91,9 @@
         """Forward cache events."""
         self.observer.observe_events(server, events)
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Forward that a server left or restarted."""
-        self.observer.forget(server)
+        self.observer.remove_server(server)
 
     def _suspect_fingerprint(self, request):
         if not self.registry.has_suspects():
--- a/src/cassiaford/pipeline/_dispatch.py
+++ b/src/cassiaford/pipeline/_dispatch.py
@@ -189,7 +189,7 @@
         with self._changed:
             self.placement.observe_events(server, events, self.clock())
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Discard the state of a server that left or restarted."""
         with self._changed:
             self.placement.remove_server(server)
