--- a/src/cassiaford/__main__.py
+++ b/src/cassiaford/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m cassiaford``."""
+"""Runs the command-line interface as ``python -m cassiaford``."""
 
 from cassiaford.cli import main
 
--- a/src/cassiaford/_event_splitter.py
+++ b/src/cassiaford/_event_splitter.py
@@ -1,23 +1,23 @@
-"""Cutting a stream of server-sent events into whole events.
+"""Splitting of byte streams into complete server-sent events.
 
-The format is that of the HTML standard's section on server-sent events; an
-event ends at an empty line.
+The HTML standard's section on server-sent events defines the format; an empty
+line ends an event.
 """
 
 import re
 
-# An event longer than this is taken for a broken stream.
+# A longer event means that the stream is broken.
 MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 _END_OF_EVENT = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 
 
 class EventStreamError(ValueError):
-    """A stream that holds no valid events."""
+    """A stream does not consist of valid events."""
 
 
 class EventSplitter:
-    """Collects bytes until events are whole.
+    """Collects bytes until they form complete events.
 
     Examples
     --------
@@ -32,7 +32,7 @@
         self.partial = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that are whole now, each with its empty line."""
+        """Return the events completed by some data, each with its empty line."""
         if self.partial:
             data = self.partial + data
         elif _is_one_event(data):
@@ -49,6 +49,6 @@
 
 
 def _is_one_event(data):
-    """Return whether data are one whole event, as they mostly are."""
+    """Return whether data is exactly one event, which is the common case."""
     end = data.find(b"\n\n")
     return end >= 0 and end == len(data) - 2 and b"\r" not in data
--- a/src/cassiaford/_hop_by_hop.py
+++ b/src/cassiaford/_hop_by_hop.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only."""
+"""The hop-by-hop headers, which apply to a single connection."""
 
 # RFC 9110, section 7.6.1.
 HOP_BY_HOP = frozenset(
--- a/src/cassiaford/_json_calls.py
+++ b/src/cassiaford/_json_calls.py
@@ -1,7 +1,7 @@
-"""JSON calls over HTTP whose failures say whether the call may have arrived.
+"""A client for JSON calls over HTTP whose errors tell if a call may have arrived.
 
-The key-value service and the engines' control calls share this module, so
-that the line between *not sent* and *answer lost* is drawn in one place.
+The clients of the key-value service and of the engines share this module, so that
+one place distinguishes a call that was not sent from a lost response.
 """
 
 import json
@@ -10,30 +10,30 @@
 import urllib3
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError
 
-# One pool for each address; the least recently used beyond these is closed.
+# Each address has a pool; beyond this number the least recently used is closed.
 MAX_POOLS = 1024
 POOL_SIZE = 16
 
 
 class CallError(Exception):
-    """A call failed; `sent` says whether the other side may have got it."""
+    """A call failed; `sent` is whether the server may have received it."""
 
     sent = True
 
 
 class NotSentError(CallError):
-    """No connection came about, so that the other side got nothing."""
+    """No connection could be opened, so the server received nothing."""
 
     sent = False
 
 
 class ResponseLostError(CallError):
-    """The call was sent, wholly or in part, and no whole answer arrived."""
+    """The call was sent, at least in part, and no complete response arrived."""
 
 
 @dataclass(frozen=True)
-class Answer:
-    """An HTTP answer with its body still encoded."""
+class JsonResponse:
+    """An HTTP response with its body still encoded."""
 
     status: int
     body: bytes = field(repr=False)
@@ -43,14 +43,14 @@
         try:
             return json.loads(self.body)
         except ValueError as error:
-            raise ResponseLostError(f"the answer is not JSON: {error}") from None
+            raise ResponseLostError(f"the response is not JSON: {error}") from None
 
 
 class JsonClient:
-    """Sends JSON calls over kept connections; safe for use by many threads.
+    """Sends JSON calls over pooled connections; thread-safe.
 
-    Nothing is repeated here: whether a call may be sent again is for its
-    caller to decide.
+    It never retries, because only its user can tell whether a call may be
+    repeated.
     """
 
     def __init__(self, timeout_s: float):
@@ -66,11 +66,11 @@
         target: str,
         body: object = None,
         wait_s: float = 0.0,
-    ) -> Answer:
-        """Send one call and return its answer, whatever its status.
+    ) -> JsonResponse:
+        """Send one call and return its response, whatever its status.
 
-        `wait_s` is the time in seconds that the other side may take beyond
-        the usual. Raises `NotSentError` or `AnswerLostError`.
+        `wait_s` is added to the timeout, for calls that wait at the server.
+        Raises `NotSentError` or `AnswerLostError`.
         """
         try:
             response = self.pools.request(
@@ -84,7 +84,7 @@
             raise NotSentError(f"{address}: {error}") from error
         except HTTPError as error:
             raise ResponseLostError(f"{address}: {error}") from error
-        return Answer(response.status, response.data)
+        return JsonResponse(response.status, response.data)
 
     def close(self) -> None:
         """Close the connections that are not in use."""
--- a/src/cassiaford/_schemas.py
+++ b/src/cassiaford/_schemas.py
@@ -1,15 +1,15 @@
-"""Loading the schemas of messages between instances."""
+"""Loading of the schemas of messages between instances."""
 
 import pathlib
 
 import capnp
 
-# Its hook looks for a schema at every import of a module that is not found.
+# The import hook of capnp would search for a schema at every failed import.
 capnp.remove_import_hook()
 
 
 def load_schema(module_file: str, name: str):
-    """Return the Cap'n Proto schema in a file beside a module's.
+    """Return the Cap'n Proto schema in a file next to a module's file.
 
     Examples
     --------
--- a/src/cassiaford/keyvalue/_http.py
+++ b/src/cassiaford/keyvalue/_http.py
@@ -1,6 +1,6 @@
-"""The key-value service and the list of instances over HTTP.
+"""HTTP clients of the key-value service and the list of instances.
 
-docs/INTERFACES.md has the formats.
+docs/INTERFACES.md describes the formats.
 """
 
 import base64
@@ -11,7 +11,12 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from cassiaford._json_calls import Answer, CallError, JsonClient, ResponseLostError
+from cassiaford._json_calls import (
+    CallError,
+    JsonClient,
+    JsonResponse,
+    ResponseLostError,
+)
 from cassiaford.keyvalue._service import (
     CasResult,
     Entry,
@@ -29,28 +34,28 @@
 
 
 def connect_key_value(settings: KeyValueSettings) -> KeyValueService:
-    """Return a client of the key-value service; it connects when first used."""
+    """Return a client of the key-value service, which connects on first use."""
     return HttpKeyValueService(settings.address, JsonClient(settings.timeout_s))
 
 
 def connect_instance_list(settings: KeyValueSettings) -> InstanceList:
-    """Return a client of the list of instances; it connects when first used."""
+    """Return a client of the list of instances, which connects on first use."""
     return HttpInstanceList(settings.list_address, JsonClient(settings.timeout_s))
 
 
 class HttpKeyValueService(KeyValueService):
-    """The key-value service behind its HTTP interface."""
+    """A client of the key-value service's HTTP interface."""
 
-    def __init__(self, address: str, caller: JsonClient):
+    def __init__(self, address: str, client: JsonClient):
         self.address = address
-        self.caller = caller
+        self.client = client
 
     def get(self, key: str) -> Entry:
         """Return the entry of a key; an absent key has version 0."""
         return self._read(f"/v1/kv/{quote(key)}", _entry)
 
     def list(self, prefix: str) -> tuple[Entry, ...]:
-        """Return the entries whose key starts with a prefix, by key."""
+        """Return the entries whose key starts with a prefix, sorted by key."""
         query = urlencode({"prefix": prefix})
         return self._read(f"/v1/kv?{query}", _entries)
 
@@ -78,108 +83,110 @@
     def renew_lease(self, lease: Lease) -> bool:
         """Renew a lease; return whether it was still held."""
         target = f"/v1/leases/{quote(lease.lease_id)}/renew"
-        return self._write("POST", target, {}, _held)
+        return self._write("POST", target, {}, _renewed)
 
     def revoke_lease(self, lease: Lease) -> None:
-        """End a lease and delete what was written under it."""
+        """End a lease and delete the entries written under it."""
         target = f"/v1/leases/{quote(lease.lease_id)}"
-        self._write("DELETE", target, None, lambda answer: None)
+        self._write("DELETE", target, None, lambda response: None)
 
     def close(self) -> None:
         """Close the connections that are not in use."""
-        self.caller.close()
+        self.client.close()
 
     def _read(self, target, decode, wait_s=0.0):
-        return _read(self.caller, self.address, target, decode, wait_s)
+        return _read(self.client, self.address, target, decode, wait_s)
 
     def _write(self, method, target, body, decode):
         try:
-            answer = self.caller.call(method, self.address, target, body)
-            _check_status(answer)
-            return _decode(decode, answer)
+            response = self.client.call(method, self.address, target, body)
+            _check_status(response)
+            return _decode(decode, response)
         except CallError as error:
             kind = OutcomeUnknownError if error.sent else UnavailableError
             raise kind(str(error)) from error
 
 
 class HttpInstanceList(InstanceList):
-    """The list of instances behind its HTTP interface."""
+    """A client of the HTTP interface of the list of instances."""
 
-    def __init__(self, address: str, caller: JsonClient):
+    def __init__(self, address: str, client: JsonClient):
         self.address = address
-        self.caller = caller
+        self.client = client
 
     def fetch(self) -> tuple[InstanceRecord, ...]:
         """Return the instances on the list."""
-        return _read(self.caller, self.address, "/v1/instances", _instances)
+        return _read(self.client, self.address, "/v1/instances", _instances)
 
     def close(self) -> None:
         """Close the connections that are not in use."""
-        self.caller.close()
+        self.client.close()
 
 
 def _read(
-    caller: JsonClient,
+    client: JsonClient,
     address: str,
     target: str,
-    decode: Callable[[Answer], _T],
+    decode: Callable[[JsonResponse], _T],
     wait_s: float = 0.0,
 ) -> _T:
     try:
-        answer = caller.call("GET", address, target, wait_s=wait_s)
-        _check_status(answer)
-        return _decode(decode, answer)
+        response = client.call("GET", address, target, wait_s=wait_s)
+        _check_status(response)
+        return _decode(decode, response)
     except CallError as error:
         raise UnavailableError(str(error)) from error
 
 
-def _check_status(answer):
+def _check_status(response):
     """Raise unless the call succeeded.
 
-    The service answers 503, or a status in the 400s, only to a call that had
-    no effect; after any other failure a write may have taken effect.
+    The service responds with 503 or a 4xx status only if the call had no effect;
+    after any other failure a write may have taken effect.
     """
-    if 200 <= answer.status < 300:
+    if 200 <= response.status < 300:
         return
-    if answer.status == 503 or 400 <= answer.status < 500:
-        raise UnavailableError(f"the service answered {answer.status}")
-    raise ResponseLostError(f"the service answered {answer.status}")
+    if response.status == 503 or 400 <= response.status < 500:
+        raise UnavailableError(f"the service's response has status {response.status}")
+    raise ResponseLostError(f"the service's response has status {response.status}")
 
 
-def _decode(decode, answer):
+def _decode(decode, response):
     try:
-        return decode(answer)
+        return decode(response)
     except (KeyError, TypeError, binascii.Error, ValidationError) as error:
-        raise ResponseLostError(f"the answer has an unknown form: {error!r}") from error
+        raise ResponseLostError(
+            f"the response has an unknown format: {error!r}"
+        ) from error
 
 
-def _entry(answer):
-    return _entry_of(answer.json())
+def _entry(response):
+    return _parse_entry(response.json())
 
 
-def _entries(answer):
-    return tuple(_entry_of(entry) for entry in answer.json()["entries"])
+def _entries(response):
+    return tuple(_parse_entry(entry) for entry in response.json()["entries"])
 
 
-def _entry_of(document):
+def _parse_entry(document):
     value = document["value"]
     decoded = None if value is None else base64.b64decode(value, validate=True)
     return Entry(document["key"], decoded, document["version"])
 
 
-def _cas_result(answer):
-    document = answer.json()
-    return CasResult(document["swapped"], _entry_of(document["entry"]))
+def _cas_result(response):
+    document = response.json()
+    return CasResult(document["swapped"], _parse_entry(document["entry"]))
 
 
-def _lease(answer):
-    document = answer.json()
+def _lease(response):
+    document = response.json()
     return Lease(document["lease_id"], document["ttl_s"])
 
 
-def _held(answer):
-    return answer.json()["held"]
+def _renewed(response):
+    return response.json()["held"]
 
 
-def _instances(answer):
-    return _RECORDS.validate_python(answer.json()["instances"])
+def _instances(response):
+    return _RECORDS.validate_python(response.json()["instances"])
