--- a/src/cassiaford/metrics/__init__.py
+++ b/src/cassiaford/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and latency percentiles of one process."""
+"""Counters, gauges and latency percentiles of one process."""
 
 from cassiaford.metrics._registry import Counter, DurationMetric, Label, Metrics
 
--- a/src/cassiaford/metrics/_registry.py
+++ b/src/cassiaford/metrics/_registry.py
@@ -1,7 +1,4 @@
-"""The metrics of one process and their text form.
-
-The form is the one that Prometheus documents as its text exposition format.
-"""
+"""The metrics of one process, rendered in Prometheus's text exposition format."""
 
 import enum
 import threading
@@ -9,20 +6,20 @@
 
 from hdrh.histogram import HdrHistogram
 
-MICROSECONDS = 1_000_000
-LOWEST_US = 1
-HIGHEST_US = 3600 * MICROSECONDS
+MICROSECONDS_PER_S = 1_000_000
+MIN_DURATION_US = 1
+MAX_DURATION_US = 3600 * MICROSECONDS_PER_S
 SIGNIFICANT_FIGURES = 2
 QUANTILES = (0.5, 0.9, 0.95, 0.99)
-# More series than this of one counter are added up under OTHER.
+# Maximum series of a counter; further ones are added up under OTHER_LABEL_VALUE.
 MAX_SERIES = 4200
-# The same for histograms, which take some hundred kilobytes each.
+# The same limit for histograms, which take some hundred kilobytes each.
 MAX_HISTOGRAMS = 48
-OTHER = "other"
+OTHER_LABEL_VALUE = "other"
 
 
 class Counter(enum.Enum):
-    """What is counted."""
+    """A counter's name and help text."""
 
     REQUESTS = ("cassiaford_requests_total", "Requests by class and verdict.")
     REFUSALS = ("cassiaford_refusals_total", "Refused requests by reason.")
@@ -43,11 +40,11 @@
 
 
 class DurationMetric(enum.Enum):
-    """What is measured in seconds."""
+    """The name and help text of a duration, which is measured in seconds."""
 
     TIME_TO_FIRST_TOKEN = (
         "cassiaford_time_to_first_token_seconds",
-        "From receipt to the first byte of the answer's body.",
+        "From receipt to the first byte of the response's body.",
     )
     QUEUE_WAIT = (
         "cassiaford_queue_wait_seconds",
@@ -59,7 +56,7 @@
     )
     LONGEST_GAP = (
         "cassiaford_longest_gap_seconds",
-        "The longest time between two arrivals of an answer's bytes.",
+        "The longest time between two arrivals of a response's bytes.",
     )
     INTAKE_TIME = (
         "cassiaford_intake_seconds",
@@ -69,14 +66,14 @@
 
 @dataclass(frozen=True)
 class Label:
-    """A label of a series."""
+    """The name and value of a series' label."""
 
     name: str
     value: str
 
 
 class Metrics:
-    """Counts events and keeps percentiles of durations, in bounded memory.
+    """Counters, gauges and percentiles of durations in bounded memory.
 
     Examples
     --------
@@ -88,7 +85,7 @@
 
     def __init__(self):
         self.counts = {counter: {} for counter in Counter}
-        self.histograms = {quantity: {} for quantity in DurationMetric}
+        self.histograms = {metric: {} for metric in DurationMetric}
         self.gauges = {}
         self._lock = threading.Lock()
 
@@ -97,35 +94,37 @@
         with self._lock:
             series = self.counts[counter]
             if labels not in series and len(series) >= MAX_SERIES:
-                labels = tuple(Label(label.name, OTHER) for label in labels)
+                labels = tuple(Label(label.name, OTHER_LABEL_VALUE) for label in labels)
             series[labels] = series.get(labels, 0) + amount
 
-    def observe(self, quantity: DurationMetric, seconds: float, *labels: Label) -> None:
-        """Take in one duration."""
-        microseconds = round(seconds * MICROSECONDS)
-        bounded = min(max(microseconds, LOWEST_US), HIGHEST_US)
+    def observe(self, metric: DurationMetric, seconds: float, *labels: Label) -> None:
+        """Record one duration."""
+        microseconds = round(seconds * MICROSECONDS_PER_S)
+        bounded = min(max(microseconds, MIN_DURATION_US), MAX_DURATION_US)
         with self._lock:
-            self._histogram(quantity, labels).record_value(bounded)
+            self._histogram(metric, labels).record_value(bounded)
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Set a value that may go up and down."""
+        """Set the value of a gauge."""
         with self._lock:
             self.gauges[name] = value
 
     def render(self) -> str:
         """Return all metrics as text."""
         with self._lock:
-            lines = [*self._counter_lines(), *self._quantity_lines()]
+            lines = [*self._counter_lines(), *self._duration_lines()]
             for name, value in self.gauges.items():
                 lines += [f"# TYPE {name} gauge", f"{name} {value:g}"]
         return "\n".join(lines) + "\n"
 
-    def _histogram(self, quantity, labels):
-        series = self.histograms[quantity]
+    def _histogram(self, metric, labels):
+        series = self.histograms[metric]
         if labels not in series and len(series) >= MAX_HISTOGRAMS:
-            labels = tuple(Label(label.name, OTHER) for label in labels)
+            labels = tuple(Label(label.name, OTHER_LABEL_VALUE) for label in labels)
         if labels not in series:
-            series[labels] = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_FIGURES)
+            series[labels] = HdrHistogram(
+                MIN_DURATION_US, MAX_DURATION_US, SIGNIFICANT_FIGURES
+            )
         return series[labels]
 
     def _counter_lines(self):
@@ -134,11 +133,11 @@
             yield f"# HELP {name} {text}"
             yield f"# TYPE {name} counter"
             for labels, value in series.items():
-                yield f"{name}{_label_text(labels)} {value:g}"
+                yield f"{name}{_format_labels(labels)} {value:g}"
 
-    def _quantity_lines(self):
-        for quantity, series in self.histograms.items():
-            name, text = quantity.value
+    def _duration_lines(self):
+        for metric, series in self.histograms.items():
+            name, text = metric.value
             yield f"# HELP {name} {text}"
             yield f"# TYPE {name} summary"
             for labels, histogram in series.items():
@@ -147,21 +146,21 @@
 
 def _summary_lines(name, labels, histogram):
     for quantile in QUANTILES:
-        value = histogram.get_value_at_percentile(quantile * 100) / MICROSECONDS
-        text = _label_text((*labels, Label("quantile", str(quantile))))
+        value = histogram.get_value_at_percentile(quantile * 100) / MICROSECONDS_PER_S
+        text = _format_labels((*labels, Label("quantile", str(quantile))))
         yield f"{name}{text} {value:g}"
     count = histogram.get_total_count()
-    total = histogram.get_mean_value() * count / MICROSECONDS if count else 0
-    yield f"{name}_sum{_label_text(labels)} {total:g}"
-    yield f"{name}_count{_label_text(labels)} {count}"
+    total = histogram.get_mean_value() * count / MICROSECONDS_PER_S if count else 0
+    yield f"{name}_sum{_format_labels(labels)} {total:g}"
+    yield f"{name}_count{_format_labels(labels)} {count}"
 
 
-def _label_text(labels):
+def _format_labels(labels):
     if not labels:
         return ""
-    pairs = ",".join(f'{label.name}="{_escaped(label.value)}"' for label in labels)
+    pairs = ",".join(f'{label.name}="{_escape(label.value)}"' for label in labels)
     return "{" + pairs + "}"
 
 
-def _escaped(value):
+def _escape(value):
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
