--- a/src/cassiaford/keyvalue/__init__.py
+++ b/src/cassiaford/keyvalue/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service and its lagging list of instances."""
+"""Clients of the platform's key-value service and its lagging list of instances."""
 
 from cassiaford.keyvalue._http import (
     HttpInstanceList,
--- a/src/cassiaford/keyvalue/_service.py
+++ b/src/cassiaford/keyvalue/_service.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform's key-value service."""
+"""The interfaces of the platform's key-value service and list of instances."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 
 
 class UnavailableError(KeyValueError):
-    """The service did not get the call, or refused it; nothing took effect."""
+    """The service did not receive the call, or refused it; nothing took effect."""
 
 
 class OutcomeUnknownError(KeyValueError):
-    """The call was sent and its answer lost; a write may have taken effect."""
+    """The call was sent and its response lost; a write may have taken effect."""
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class CasResult:
-    """The result of a compare-and-swap, with the entry now in force."""
+    """The result of a compare-and-swap, with the entry as it is now."""
 
     swapped: bool
     entry: Entry
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Lease:
-    """A lease; it lapses `ttl_s` seconds after its last renewal."""
+    """A lease, which expires `ttl_s` seconds after its last renewal."""
 
     lease_id: str
     ttl_s: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class InstanceRecord:
-    """One line of the platform's lagging list of instances."""
+    """One entry of the platform's lagging list of instances."""
 
     instance: str
     incarnation: int
@@ -54,12 +54,11 @@
 
 
 class KeyValueService(ABC):
-    """The platform's key-value service, as far as the system uses it.
+    """The operations of the platform's key-value service that the product uses.
 
-    Every method is one call to the service and blocks until it has its
-    answer. Reads raise `UnavailableError` when they fail. Writes raise
-    `UnavailableError` if they cannot have taken effect and
-    `OutcomeUnknownError` otherwise.
+    Every method makes one call and blocks until the response. Reads raise
+    `UnavailableError` when they fail. Writes raise `UnavailableError` if they
+    cannot have taken effect, and `OutcomeUnknownError` otherwise.
     """
 
     @abstractmethod
@@ -68,7 +67,7 @@
 
     @abstractmethod
     def list(self, prefix: str) -> tuple[Entry, ...]:
-        """Return the entries whose key starts with a prefix, by key."""
+        """Return the entries whose key starts with a prefix, sorted by key."""
 
     @abstractmethod
     def compare_and_swap(
@@ -77,7 +76,7 @@
         """Set a key if its version is still `version`.
 
         A `value` of None deletes the key. An entry written under a lease is
-        deleted when the lease lapses.
+        deleted when the lease expires.
         """
 
     @abstractmethod
@@ -94,7 +93,7 @@
 
     @abstractmethod
     def revoke_lease(self, lease: Lease) -> None:
-        """End a lease and delete what was written under it."""
+        """End a lease and delete the entries written under it."""
 
     def close(self) -> None:
         """Give up what the client holds, such as kept connections."""
