--- a/src/cassiaford/timeline/__init__.py
+++ b/src/cassiaford/timeline/__init__.py
@@ -1,9 +1,9 @@
-"""The time line: events of one process, ordered across all processes."""
+"""The time line: the events of all processes in one order."""
 
 from cassiaford.timeline._clock import HybridClock, Timestamp
 from cassiaford.timeline._document import (
-    BadRecordError,
     GatheredRecord,
+    InvalidRecordError,
     merge,
     parse_record,
     record_document,
@@ -14,7 +14,7 @@
 from cassiaford.timeline._render import html_page, text_line
 
 __all__ = [
-    "BadRecordError",
+    "InvalidRecordError",
     "Detail",
     "GatheredRecord",
     "HybridClock",
--- a/src/cassiaford/timeline/_clock.py
+++ b/src/cassiaford/timeline/_clock.py
@@ -1,17 +1,16 @@
 """A hybrid logical clock, which orders causes before their effects.
 
-The idea is from Kulkarni and others, "Logical Physical Clocks" (2014): a
-timestamp is the largest wall-clock time seen so far and a counter that
-breaks ties, so it stays close to the wall clock and yet exceeds every
-timestamp that reached the process in a message.
+It follows Kulkarni and others, "Logical Physical Clocks" (2014): a timestamp is
+the largest wall-clock time seen so far and a counter that breaks ties. It stays
+close to the wall clock and yet exceeds every timestamp received in a message.
 """
 
 import threading
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# A timestamp further ahead than this comes from a broken clock and is ignored.
-MAX_AHEAD_MS = 60_000
+# Received timestamps further ahead come from a broken clock and are ignored.
+MAX_CLOCK_SKEW_MS = 60_000
 
 
 @dataclass(frozen=True, order=True)
@@ -23,7 +22,7 @@
 
 
 class HybridClock:
-    """Gives timestamps that exceed all given or observed before.
+    """Creates timestamps that exceed all created or observed before.
 
     Examples
     --------
@@ -40,16 +39,16 @@
     def now(self) -> Timestamp:
         """Return a timestamp for a local event."""
         with self._lock:
-            self.last = self._after(self.last)
+            self.last = self._next_timestamp(self.last)
             return self.last
 
     def observe(self, received: Timestamp) -> None:
-        """Take note of a timestamp that arrived in a message."""
+        """Advance the clock to a timestamp received in a message."""
         with self._lock:
-            if received.wall_ms <= self._wall_ms() + MAX_AHEAD_MS:
+            if received.wall_ms <= self._wall_ms() + MAX_CLOCK_SKEW_MS:
                 self.last = max(self.last, received)
 
-    def _after(self, previous):
+    def _next_timestamp(self, previous):
         wall_ms = self._wall_ms()
         if wall_ms > previous.wall_ms:
             return Timestamp(wall_ms, 0)
--- a/src/cassiaford/timeline/_document.py
+++ b/src/cassiaford/timeline/_document.py
@@ -1,7 +1,7 @@
-"""Records as they travel: from an instance's journal to whoever gathers them.
+"""Records of the journals of all instances, as exchanged in JSON.
 
-A gathered record names its event by number and text, since the instance that
-wrote it may run another release with other events.
+A gathered record has its event as number and text, since the instance that wrote
+it may run another release with other events.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class GatheredRecord:
-    """A record of some instance's journal."""
+    """A record of any instance's journal."""
 
     wall_ms: int
     counter: int
@@ -32,12 +32,12 @@
 _ADAPTER = TypeAdapter(GatheredRecord)
 
 
-class BadRecordError(ValueError):
-    """A document that is not a record."""
+class InvalidRecordError(ValueError):
+    """A document is not a valid record."""
 
 
 def to_gathered_record(record: Record) -> GatheredRecord:
-    """Return a record of this process in the form in which it travels."""
+    """Return a record of this process as a gathered record."""
     return GatheredRecord(
         wall_ms=record.timestamp.wall_ms,
         counter=record.timestamp.counter,
@@ -54,20 +54,20 @@
 
 
 def record_document(record: GatheredRecord) -> dict[str, object]:
-    """Return the JSON document of a record."""
+    """Return a record as a JSON document."""
     return _ADAPTER.dump_python(record, mode="json")
 
 
 def parse_record(document: object) -> GatheredRecord:
-    """Return the record in a JSON document; raise `BadRecordError` if none."""
+    """Return the record in a JSON document; raise `InvalidRecordError` if none."""
     try:
         return _ADAPTER.validate_python(document)
     except ValidationError as error:
-        raise BadRecordError(str(error)) from None
+        raise InvalidRecordError(str(error)) from None
 
 
 def merge(records: Iterable[GatheredRecord]) -> list[GatheredRecord]:
-    """Return records in an order in which no effect precedes its cause."""
+    """Return records sorted so that no effect precedes its cause."""
     return sorted(
         records, key=lambda record: (record.wall_ms, record.counter, record.instance)
     )
--- a/src/cassiaford/timeline/_journal.py
+++ b/src/cassiaford/timeline/_journal.py
@@ -1,4 +1,4 @@
-"""The journal of one process: its newest events, in bounded memory."""
+"""The journal of one process: its latest events in bounded memory."""
 
 import collections
 import threading
@@ -8,13 +8,13 @@
 from cassiaford.logs import Event, Level, write_line
 from cassiaford.timeline._clock import HybridClock, Timestamp
 
-# About 1 KB a record: the journal stays under 4 MB.
+# A record takes about 1 KB, so the journal stays under 4 MB.
 DEFAULT_CAPACITY = 4096
 
 
 @dataclass(frozen=True)
 class Detail:
-    """One named value of an event."""
+    """A named value of an event."""
 
     name: str
     value: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Subject:
-    """What an event is about, as far as it is known."""
+    """The request, customer and server of an event; unknown ones are empty."""
 
     request_id: str = ""
     customer: str = ""
@@ -46,9 +46,9 @@
 
 
 class Journal:
-    """Records events in memory and writes each to the log.
+    """Records events in memory and writes each of them to the log.
 
-    Details must hold neither a caller's key nor any part of a prompt.
+    Details must contain neither a caller's key nor any part of a prompt.
     """
 
     def __init__(
@@ -82,16 +82,16 @@
         )
         with self._lock:
             self.records.append(record)
-        self.write(event.level, f"CF{event.number} {event.text}", _fields(record))
+        self.write(event.level, f"CF{event.number} {event.text}", _log_fields(record))
         return record
 
     def snapshot(self) -> tuple[Record, ...]:
-        """Return the records held now, oldest first."""
+        """Return the records in memory, oldest first."""
         with self._lock:
             return tuple(self.records)
 
 
-def _fields(record):
+def _log_fields(record):
     fields = {"instance": record.instance, "revision": record.revision}
     for name in ("request_id", "customer", "server"):
         value = getattr(record.subject, name)
--- a/src/cassiaford/timeline/_log_lines.py
+++ b/src/cassiaford/timeline/_log_lines.py
@@ -1,9 +1,9 @@
-"""Records read back from the log lines of gateways.
+"""Parsing of records from the log lines of gateways.
 
-A log line has the wall-clock time of its machine only, and clocks differ by
-seconds. What all instances learn at nearly the same moment tells how far: each
-configuration and each version of weights reaches them within a fraction of a
-second.
+A log line has only its machine's wall-clock time, and clocks differ by seconds.
+The offsets are estimated from events that all instances log at nearly the same
+time: each configuration and each named version reaches them within a fraction of
+a second.
 """
 
 import json
@@ -16,18 +16,17 @@
 from cassiaford.timeline._document import GatheredRecord
 
 _MESSAGE = re.compile(r"CF(\d+) (.*)")
-_SUBJECT = ("request_id", "customer", "server")
-_SHARED = {
+_SUBJECT_FIELDS = ("request_id", "customer", "server")
+_FLEET_WIDE_EVENTS = {
     Event.REVISION_IN_FORCE.number: "configuration",
     Event.VERSION_NAMED.number: "version",
 }
 
 
 def parse_log_line(line: str) -> GatheredRecord | None:
-    """Return the record of a log line, or None if it is none.
+    """Return the record in a log line, or None if there is none.
 
-    What stands before the JSON object, such as a collector's prefix, is passed
-    over.
+    Text before the JSON object, such as a collector's prefix, is ignored.
 
     Examples
     --------
@@ -42,7 +41,7 @@
     try:
         fields = json.loads(line[start:]) if start >= 0 else None
     except ValueError:
-        # A line that was cut, or that another program wrote.
+        # The line was truncated, or another program wrote it.
         return None
     if not isinstance(fields, dict) or "time" not in fields:
         return None
@@ -58,36 +57,36 @@
         revision=int(fields.pop("configuration", 0)),
         number=int(message[1]),
         text=message[2],
-        **{name: str(fields.pop(name, "")) for name in _SUBJECT},
+        **{name: str(fields.pop(name, "")) for name in _SUBJECT_FIELDS},
         details={name: str(value) for name, value in fields.items()},
     )
 
 
 def clock_offsets(records: Sequence[GatheredRecord]) -> dict[str, int]:
-    """Return by how many milliseconds each instance's clock is ahead.
+    """Return how far each instance's clock is ahead, in milliseconds.
 
-    The reference is the middle of all instances.
+    The reference is the median of all instances.
     """
-    seen: dict[tuple[int, str], dict[str, int]] = {}
+    times_by_event: dict[tuple[int, str], dict[str, int]] = {}
     for record in records:
-        name = _SHARED.get(record.number)
+        name = _FLEET_WIDE_EVENTS.get(record.number)
         if name is not None:
-            shown = record.details.get(name, str(record.revision))
-            moments = seen.setdefault((record.number, shown), {})
-            moments.setdefault(record.instance, record.wall_ms)
-    ahead: dict[str, list[float]] = {}
-    for moments in seen.values():
-        if len(moments) > 1:
-            middle = statistics.median(moments.values())
-            for instance, wall_ms in moments.items():
-                ahead.setdefault(instance, []).append(wall_ms - middle)
-    return {name: round(statistics.median(d)) for name, d in ahead.items()}
+            value = record.details.get(name, str(record.revision))
+            times_ms = times_by_event.setdefault((record.number, value), {})
+            times_ms.setdefault(record.instance, record.wall_ms)
+    offsets: dict[str, list[float]] = {}
+    for times_ms in times_by_event.values():
+        if len(times_ms) > 1:
+            median_ms = statistics.median(times_ms.values())
+            for instance, wall_ms in times_ms.items():
+                offsets.setdefault(instance, []).append(wall_ms - median_ms)
+    return {name: round(statistics.median(d)) for name, d in offsets.items()}
 
 
 def read_log_lines(lines: Iterable[str]) -> list[GatheredRecord]:
-    """Return the records of log lines, in one order and on one clock.
+    """Return the records in log lines, sorted by time with aligned clocks.
 
-    Records of one instance stay in the order in which they were written.
+    Records of one instance with equal times keep the order of their lines.
     """
     records = [record for line in lines if (record := parse_log_line(line))]
     offsets = clock_offsets(records)
--- a/src/cassiaford/timeline/_render.py
+++ b/src/cassiaford/timeline/_render.py
@@ -1,4 +1,4 @@
-"""The time line as text and as one self-contained HTML page."""
+"""Rendering of the time line as text and as a self-contained HTML page."""
 
 import datetime
 import html
@@ -24,43 +24,47 @@
 
 def text_line(record: GatheredRecord) -> str:
     """Return a record as one line of text."""
-    pairs = " ".join(part for part in (_subject(record), _details(record)) if part)
-    line = f"{_time(record)} {record.instance:<12} CF{record.number} {record.text}"
+    pairs = " ".join(
+        part for part in (_format_subject(record), _format_details(record)) if part
+    )
+    line = (
+        f"{_format_time(record)} {record.instance:<12} CF{record.number} {record.text}"
+    )
     return f"{line} {pairs}".rstrip()
 
 
 def html_page(records: Sequence[GatheredRecord]) -> str:
-    """Return records as one HTML page that needs nothing else."""
+    """Return records as one self-contained HTML page."""
     header = "".join(f"<th>{name}</th>" for name in _COLUMNS)
-    rows = "\n".join(_row(record) for record in records)
+    rows = "\n".join(_html_row(record) for record in records)
     return _PAGE.format(count=len(records), header=header, rows=rows)
 
 
-def _row(record):
+def _html_row(record):
     cells = (
-        _time(record),
+        _format_time(record),
         record.instance,
         record.revision,
         f"CF{record.number} {record.text}",
-        _subject(record),
-        _details(record),
+        _format_subject(record),
+        _format_details(record),
     )
     return "<tr>" + "".join(f"<td>{html.escape(str(c))}</td>" for c in cells) + "</tr>"
 
 
-def _time(record):
+def _format_time(record):
     moment = datetime.datetime.fromtimestamp(record.wall_ms / 1000, datetime.UTC)
     return f"{moment:%Y-%m-%d %H:%M:%S}.{record.wall_ms % 1000:03d}+{record.counter}"
 
 
-def _subject(record):
-    named = (
+def _format_subject(record):
+    fields = (
         ("request", record.request_id),
         ("customer", record.customer),
         ("server", record.server),
     )
-    return " ".join(f"{name}={value}" for name, value in named if value)
+    return " ".join(f"{name}={value}" for name, value in fields if value)
 
 
-def _details(record):
+def _format_details(record):
     return " ".join(f"{name}={value}" for name, value in record.details.items())
