--- a/src/cassiaford/settings/__init__.py
+++ b/src/cassiaford/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of one process, read from a TOML file and checked as a whole."""
+"""The settings of one process, read from a TOML file and validated as a whole."""
 
 from cassiaford.settings._load import SettingsError, load_settings, parse_settings
 from cassiaford.settings._model import (
