--- a/src/cassiaford/documents/__init__.py
+++ b/src/cassiaford/documents/__init__.py
@@ -1,4 +1,4 @@
-"""TOML documents that are checked as a whole against a data class."""
+"""Parsing of TOML documents, which are validated as a whole against a data class."""
 
 from cassiaford.documents._check import DocumentError, parse_document, read_text
 
--- a/src/cassiaford/documents/_check.py
+++ b/src/cassiaford/documents/_check.py
@@ -1,4 +1,4 @@
-"""Reading TOML documents and reporting every mistake in them at once."""
+"""Parsing of TOML documents, which reports all mistakes at once."""
 
 import difflib
 import tomllib
@@ -12,7 +12,7 @@
 
 
 class DocumentError(ValueError):
-    """A document cannot be used; `mistakes` holds one line for each fault."""
+    """A document is invalid; `mistakes` has one line for each mistake."""
 
     def __init__(self, source: str, mistakes: tuple[str, ...]):
         super().__init__(f"{source}: " + "; ".join(mistakes))
@@ -21,7 +21,7 @@
 
 
 def read_text(path: Path, error_type: type[DocumentError] = DocumentError) -> str:
-    """Return the text of a file; raises `error_type` if it cannot be read."""
+    """Return the text of a file; raise `error_type` if it cannot be read."""
     try:
         return path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -35,11 +35,10 @@
     noun: str,
     error_type: type[DocumentError] = DocumentError,
 ) -> Any:
-    """Return the TOML document in a text as an instance of `root`.
+    """Return the document in TOML text as an instance of `root`.
 
-    `noun` is what a message calls a field, such as "setting". Raises
-    `error_type` naming the path, the value and what is allowed for every
-    mistake found.
+    `noun` is what messages call a field, such as "setting". Raises `error_type`
+    with the path, the value and the allowed values of every mistake.
     """
     try:
         document = tomllib.loads(text)
@@ -49,22 +48,22 @@
         return TypeAdapter(root).validate_python(document)
     except ValidationError as error:
         details = error.errors(include_url=False)
-        mistakes = tuple(_describe(root, noun, detail) for detail in details)
+        mistakes = tuple(_format_mistake(root, noun, detail) for detail in details)
         raise error_type(source, mistakes) from None
 
 
-def _describe(root, noun, detail):
+def _format_mistake(root, noun, detail):
     location = tuple(str(part) for part in detail["loc"])
     path = ".".join(location)
     if detail["type"] in ("unexpected_keyword_argument", "extra_forbidden"):
-        return f"{path}: unknown {noun}{_suggestion(root, location)}"
+        return f"{path}: unknown {noun}{_format_suggestion(root, location)}"
     if detail["type"] == "missing":
         return f"{path}: missing"
-    shown = _shown(root, location, detail["input"])
-    return f"{path}: {shown} is not allowed: {detail['msg']}"
+    value = _format_value(root, location, detail["input"])
+    return f"{path}: {value} is not allowed: {detail['msg']}"
 
 
-def _shown(root, location, value):
+def _format_value(root, location, value):
     if _is_secret(root, location):
         return "the given secret"
     return repr(value)
@@ -75,13 +74,13 @@
     return annotation is SecretStr or SecretStr in get_args(annotation)
 
 
-def _suggestion(root, location):
-    known = _known_names(root, location[:-1])
-    nearest = difflib.get_close_matches(location[-1], known, n=1)
+def _format_suggestion(root, location):
+    names = _field_names(root, location[:-1])
+    nearest = difflib.get_close_matches(location[-1], names, n=1)
     return f"; did you mean {nearest[0]!r}?" if nearest else ""
 
 
-def _known_names(root, location):
+def _field_names(root, location):
     section = _field_type(root, location)
     if not is_dataclass(section):
         return []
@@ -96,7 +95,7 @@
 
 
 def _member_type(section, name):
-    """Return the type of what stands under a name in a section."""
+    """Return the type of the member with a given name in a section."""
     if is_dataclass(section):
         types = {field.name: field.type for field in fields(section)}
         return _without_none(types.get(name))
@@ -106,10 +105,10 @@
 
 
 def _without_none(annotation):
-    """Return what a field holds, without None and without validators."""
+    """Return the type of a field without None, and of a section without validators."""
     if get_origin(annotation) in (Union, UnionType):
-        present = [a for a in get_args(annotation) if a is not NoneType]
-        annotation = present[0] if len(present) == 1 else annotation
+        members = [a for a in get_args(annotation) if a is not NoneType]
+        annotation = members[0] if len(members) == 1 else annotation
     if get_origin(annotation) is Annotated and _is_section(get_args(annotation)[0]):
         return get_args(annotation)[0]
     return annotation
