--- a/src/cassiaford/logs/__init__.py
+++ b/src/cassiaford/logs/__init__.py
@@ -1,7 +1,7 @@
-"""Numbered events and the log lines that carry them."""
+"""The catalogue of numbered events, and the output of log lines."""
 
-from cassiaford.logs._bounded import NonBlockingStream
 from cassiaford.logs._catalogue import Event, Level
+from cassiaford.logs._non_blocking import NonBlockingStream
 from cassiaford.logs._output import configure_logging, write_line
 
 __all__ = ["NonBlockingStream", "Event", "Level", "configure_logging", "write_line"]
--- a/src/cassiaford/logs/_catalogue.py
+++ b/src/cassiaford/logs/_catalogue.py
@@ -1,14 +1,14 @@
 """The catalogue of numbered events.
 
-A number is never given a second meaning. docs/EVENTS.md says of each what it
-means and what an operator does; a test holds the two together.
+A number never changes its meaning. docs/EVENTS.md tells operators what each event
+means and what to do; a test checks that the two agree.
 """
 
 import enum
 
 
 class Level(enum.Enum):
-    """How much an event matters to an operator."""
+    """The severity of an event for an operator."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -17,7 +17,7 @@
 
 
 class Event(enum.Enum):
-    """A numbered event: its number, its level, and its text."""
+    """A numbered event with its level and text."""
 
     # 10xx: the process.
     INSTANCE_STARTED = (1001, Level.INFO, "instance started")
@@ -97,15 +97,15 @@
 
     @property
     def number(self) -> int:
-        """The number, written ``CF1202`` in logs."""
+        """The number, shown in logs as in ``CF1202``."""
         return self.value[0]
 
     @property
     def level(self) -> Level:
-        """How much the event matters."""
+        """The severity of the event."""
         return self.value[1]
 
     @property
     def text(self) -> str:
-        """What happened, in a few words."""
+        """A short description of the event."""
         return self.value[2]
--- a/src/cassiaford/logs/_output.py
+++ b/src/cassiaford/logs/_output.py
@@ -1,4 +1,4 @@
-"""Writing log lines through `absl.logging`, as text or as JSON lines."""
+"""Output of log lines through `absl.logging`, as text or JSON."""
 
 import json
 import logging as standard_logging
@@ -30,24 +30,24 @@
 
 
 class _TextFormatter(standard_logging.Formatter):
-    """Formats a log record as one line of text with its fields at the end."""
+    """Formats a log record as one line of text that ends with its fields."""
 
     default_msec_format = "%s.%03d"
 
     def format(self, record):
         fields = getattr(record, "event_fields", {})
-        pairs = "".join(f" {name}={_quoted(fields[name])}" for name in fields)
+        pairs = "".join(f" {name}={_quote_if_needed(fields[name])}" for name in fields)
         time = self.formatTime(record)
         return f"{time} {record.levelname[0]} {record.getMessage()}{pairs}"
 
 
-def configure_logging(form: str, level: str, stream=None) -> None:
-    """Send log lines of at least a level to a stream, or standard error."""
-    # absl warns about each process that logs before its own flags are parsed;
-    # this one has none.
+def configure_logging(line_format: str, level: str, stream=None) -> None:
+    """Send log lines of at least a level to a stream, or to standard error."""
+    # absl warns if a process logs before its absl flags are parsed; this program
+    # has no such flags.
     flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
-    formatter = _JsonFormatter() if form == "json" else _TextFormatter()
+    formatter = _JsonFormatter() if line_format == "json" else _TextFormatter()
     handler.setFormatter(formatter)
     handler.python_handler.stream = stream or sys.stderr
     logging.use_absl_handler()
@@ -55,7 +55,7 @@
 
 
 def write_line(level: Level, message: str, fields: dict[str, object]) -> None:
-    """Write one log line; `fields` are appended as name and value."""
+    """Write one log line with `fields` as names and values."""
     standard_logging.getLogger("absl").log(
         logging.converter.absl_to_standard(_ABSL_LEVELS[level]),
         "%s",
@@ -64,6 +64,6 @@
     )
 
 
-def _quoted(value):
+def _quote_if_needed(value):
     text = str(value)
     return json.dumps(text) if not text or " " in text or "=" in text else text
