--- a/src/cassiaford/gateway/_dialect.py
+++ b/src/cassiaford/gateway/_dialect.py
@@ -68,7 +68,7 @@
         """Return whether a request target is a directory lookup."""
 
     @abstractmethod
-    def response_body(self, addresses: list[str], time_to_live_s: float) -> bytes:
+    def encode(self, addresses: list[str], time_to_live_s: float) -> bytes:
         """Return the response body that lists addresses, the best first."""
 
 
--- a/src/cassiaford/gateway/_exchange.py
+++ b/src/cassiaford/gateway/_exchange.py
@@ -66,10 +66,7 @@
 
 
 class Exchange:
-    """Serves one job, or returns the refusal that ends it.
-
-    `instances` is the number of instances in the fleet.
-    """
+    """Serves one job in a fleet of `instances`, or returns a refusal."""
 
     def __init__(self, job: Job, context: ExchangeContext, instances: int):
         self.job = job
@@ -105,10 +102,7 @@
             self._log_retry(choice)
 
     async def _next_choice(self):
-        """Return the server to send to, after waiting for more urgent requests.
-
-        Returns None if no server can serve the request in time.
-        """
+        """Return a server after more urgent requests, or None if none is in time."""
         job = self.job
         while True:
             now = self.loop.time()
--- a/src/cassiaford/gateway/_gateway.py
+++ b/src/cassiaford/gateway/_gateway.py
@@ -43,15 +43,13 @@
 OWN_PREFIX = "cassiaford/"
 INSTANCES_PREFIX = OWN_PREFIX + "instances/"
 ORDERER_KEY = OWN_PREFIX + "orderer"
-# Batch window for changes to server entries. It must be short, because engines that
-# have loaded new weights stay out of use until their entries are seen.
+# Short batch window: reloaded engines stay out of use until their entries are seen.
 SERVER_BATCH_WINDOW_S = 0.12
 # Interval between checks for expired state.
 HOUSEKEEPING_INTERVAL_S = 0.2
 METRICS_TARGET = "/metrics"
-# Phases of a planned stop, as fractions of its time: first the instance leaves the
-# directory, then it refuses new requests, and it exits once no request is in
-# progress, at the latest at the second fraction.
+# Fractions of a planned stop's time: new requests are served until the first, and
+# the process exits once no request is in progress, at the latest at the second.
 REFUSE_AFTER_FRACTION = 0.3
 END_FRACTION = 0.84
 # No request may be sent to replaced weights in the last second of the time in which
@@ -397,6 +395,4 @@
         self.rng.shuffle(addresses)
         if not addresses:
             return None
-        return self.adapter.directory.response_body(
-            addresses, self.settings.directory_ttl_s
-        )
+        return self.adapter.directory.encode(addresses, self.settings.directory_ttl_s)
--- a/src/cassiaford/keyvalue/_service.py
+++ b/src/cassiaford/keyvalue/_service.py
@@ -96,7 +96,7 @@
         """End a lease and delete the entries written under it."""
 
     def close(self) -> None:
-        """Give up what the client holds, such as kept connections."""
+        """Release the client's resources, such as idle connections."""
 
 
 class InstanceList(ABC):
@@ -107,4 +107,4 @@
         """Return the instances on the list; raise `UnavailableError` on failure."""
 
     def close(self) -> None:
-        """Give up what the client holds, such as kept connections."""
+        """Release the client's resources, such as idle connections."""
--- a/src/cassiaford/platform/_directory.py
+++ b/src/cassiaford/platform/_directory.py
@@ -15,7 +15,7 @@
         """Return whether a request target is a directory lookup."""
         return target.partition("?")[0] == "/resolve"
 
-    def response_body(self, addresses: list[str], time_to_live_s: float) -> bytes:
+    def encode(self, addresses: list[str], time_to_live_s: float) -> bytes:
         """Return the response body that lists addresses."""
         document = {"Addresses": addresses[:MAX_ADDRESSES], "TtlS": time_to_live_s}
         return json.dumps(document).encode()
