--- a/src/cassiaford/logs/_catalogue.py
+++ b/src/cassiaford/logs/_catalogue.py
@@ -24,41 +24,41 @@
     INSTANCE_READY = (1002, Level.INFO, "instance ready to serve")
     DRAIN_STARTED = (1003, Level.INFO, "graceful shutdown started")
     DRAIN_FINISHED = (1004, Level.INFO, "graceful shutdown finished")
-    SETTINGS_RELOADED = (1008, Level.INFO, "settings read again")
-    SETTINGS_REJECTED = (1009, Level.ERROR, "settings not usable")
+    SETTINGS_RELOADED = (1008, Level.INFO, "settings reloaded")
+    SETTINGS_REJECTED = (1009, Level.ERROR, "settings rejected")
     INSTANCE_SUSPENDED = (1007, Level.WARNING, "instance was suspended")
     DRAIN_CUT_SHORT = (1005, Level.ERROR, "graceful shutdown cut short")
-    BACKGROUND_TASK_FAILED = (1006, Level.ERROR, "background thread failed and goes on")
+    BACKGROUND_TASK_FAILED = (1006, Level.ERROR, "background task failed and continues")
 
     # 11xx: configuration and keys.
     REVISION_IN_FORCE = (1101, Level.INFO, "configuration revision in force")
     KEY_WITHDRAWN = (1102, Level.INFO, "key withdrawn")
-    CONFIGURATION_STALE = (1103, Level.ERROR, "no word from service or peers")
-    CONFIGURATION_FRESH = (1104, Level.INFO, "word from service or peers again")
-    REVISION_REJECTED = (1105, Level.ERROR, "configuration entry not usable")
+    CONFIGURATION_STALE = (1103, Level.ERROR, "no contact with service or peers")
+    CONFIGURATION_FRESH = (1104, Level.INFO, "contact with service or peers restored")
+    REVISION_REJECTED = (1105, Level.ERROR, "configuration entry rejected")
     SNAPSHOT_WRITTEN = (1106, Level.INFO, "configuration snapshot written")
 
     VERSION_NAMED = (1107, Level.INFO, "version of weights named")
-    PEER_COPY_APPLIED = (1108, Level.INFO, "newer state taken from a peer")
+    PEER_COPY_APPLIED = (1108, Level.INFO, "newer state copied from a peer")
 
     # 12xx: requests.
     REQUEST_REFUSED = (1202, Level.INFO, "request refused")
     REQUEST_PLACED = (1203, Level.DEBUG, "request sent to backend server")
     REQUEST_COMPLETED = (1204, Level.INFO, "request completed")
     REQUEST_FAILED = (1205, Level.WARNING, "request failed after its start")
-    REQUEST_RETRIED = (1206, Level.INFO, "request sent again")
+    REQUEST_RETRIED = (1206, Level.INFO, "request retried")
     CALLER_LEFT = (1207, Level.INFO, "caller closed the connection")
 
     # 13xx: backend servers and streams.
     SERVER_SUSPECTED = (1301, Level.WARNING, "backend server suspected")
     SERVER_REACHABLE = (1303, Level.INFO, "backend server reachable again")
     STREAM_RESUMED = (1302, Level.INFO, "stream resumed at its offset")
-    ENGINE_UNREACHABLE = (1311, Level.WARNING, "engine does not answer polls")
-    ENGINE_REACHABLE = (1312, Level.INFO, "engine answers polls again")
-    ENGINE_RESTARTED = (1313, Level.WARNING, "engine came back with an empty cache")
+    ENGINE_UNREACHABLE = (1311, Level.WARNING, "engine does not respond to polls")
+    ENGINE_REACHABLE = (1312, Level.INFO, "engine responds to polls again")
+    ENGINE_RESTARTED = (1313, Level.WARNING, "engine restarted with an empty cache")
 
-    PREFIX_STORE_LOST = (1315, Level.WARNING, "store for prefixes not reachable")
-    PREFIX_STORE_RECOVERED = (1316, Level.INFO, "store for prefixes reachable again")
+    PREFIX_STORE_LOST = (1315, Level.WARNING, "prefix store unreachable")
+    PREFIX_STORE_RECOVERED = (1316, Level.INFO, "prefix store reachable again")
     SERVER_JOINED = (1321, Level.INFO, "backend server registered")
     SERVER_CHANGED = (1322, Level.INFO, "backend server's entry changed")
     SERVER_REPLACED = (1324, Level.INFO, "another backend server at this address")
@@ -66,13 +66,13 @@
 
     # 14xx: peers and membership.
     MEMBER_JOINED = (1401, Level.INFO, "instance is live")
-    MEMBER_SUSPECTED = (1402, Level.INFO, "instance does not answer")
-    MEMBER_LOST = (1403, Level.WARNING, "instance taken for dead")
+    MEMBER_SUSPECTED = (1402, Level.INFO, "instance does not respond")
+    MEMBER_LOST = (1403, Level.WARNING, "instance assumed to be dead")
     MEMBER_LEAVING = (1404, Level.INFO, "instance is leaving")
     MEMBER_LEFT = (1405, Level.INFO, "instance has left")
     PEER_MESSAGE_DROPPED = (1406, Level.WARNING, "message from peer dropped")
     INSTANCE_SUPERSEDED = (1407, Level.ERROR, "newer process has this name")
-    INSTANCE_LIST_LOST = (1408, Level.WARNING, "list of instances does not answer")
+    INSTANCE_LIST_LOST = (1408, Level.WARNING, "list of instances does not respond")
     # 15xx: rates.
     SHARES_SUSPENDED = (1501, Level.WARNING, "rate shares unused after a pause")
     SHARES_RESUMED = (1502, Level.INFO, "rate shares in use again")
@@ -84,16 +84,20 @@
     # 17xx: orders to engines, and requests that crash servers.
     LOAD_ORDERED = (1701, Level.INFO, "engine is to load weights")
     LOAD_FINISHED = (1702, Level.INFO, "engine has loaded weights")
-    LOAD_ABANDONED = (1703, Level.WARNING, "load of weights given up")
-    ORDER_NOT_ACCEPTED = (1704, Level.WARNING, "order refused or its answer lost")
-    ORDERS_SUSPENDED = (1705, Level.WARNING, "no orders without key-value service")
-    ORDERS_RESUMED = (1706, Level.INFO, "orders are given again")
+    LOAD_ABANDONED = (1703, Level.WARNING, "load of weights abandoned")
+    ORDER_NOT_ACCEPTED = (1704, Level.WARNING, "order refused or its response lost")
+    ORDERS_SUSPENDED = (
+        1705,
+        Level.WARNING,
+        "orders suspended without key-value service",
+    )
+    ORDERS_RESUMED = (1706, Level.INFO, "orders resumed")
     LAST_SERVER_KEPT = (1707, Level.WARNING, "last serving engine not reloaded")
     SERVER_CRASH_REPORTED = (1711, Level.WARNING, "requests suspect after a crash")
 
     # 18xx: the key-value service.
-    KEY_VALUE_LOST = (1801, Level.WARNING, "key-value service does not answer")
-    KEY_VALUE_RECOVERED = (1802, Level.INFO, "key-value service answers again")
+    KEY_VALUE_LOST = (1801, Level.WARNING, "key-value service does not respond")
+    KEY_VALUE_RECOVERED = (1802, Level.INFO, "key-value service responds again")
 
     @property
     def number(self) -> int:
