--- a/src/cassiaford/metrics/_registry.py
+++ b/src/cassiaford/metrics/_registry.py
@@ -44,7 +44,7 @@
 
     TIME_TO_FIRST_TOKEN = (
         "cassiaford_time_to_first_token_seconds",
-        "From receipt to the first byte of the response's body.",
+        "From receipt to the first byte of the answer's body.",
     )
     QUEUE_WAIT = (
         "cassiaford_queue_wait_seconds",
@@ -56,7 +56,7 @@
     )
     LONGEST_GAP = (
         "cassiaford_longest_gap_seconds",
-        "The longest time between two arrivals of a response's bytes.",
+        "The longest time between two arrivals of an answer's bytes.",
     )
     INTAKE_TIME = (
         "cassiaford_intake_seconds",
