--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -118,9 +118,9 @@
         engine = self.fleet.engines[name]
         missing = engine.tokens_to_compute(request)
         tokens = engine.queued_tokens + self.recompute_weight * missing
-        slots = engine.figures.slots
+        slots = engine.parameters.slots
         full = engine.running + len(engine.waiting) >= slots
-        return tokens / engine.figures.prefill_tokens_per_s + full
+        return tokens / engine.parameters.prefill_tokens_per_s + full
 
 
 def usable_servers(
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -14,7 +14,7 @@
 
 import typer
 
-from bench.model import EngineFigures, Fleet, FleetFigures
+from bench.model import EngineParameters, Fleet, FleetParameters
 from bench.placement_cases import END_S, FAULT_AT_S, RUN_ON_S, Figures, figures
 from bench.placement_report import spread
 from bench.workloads import ACADEMY, Arrival
@@ -93,8 +93,8 @@
     fleet = Fleet(
         ACADEMY.engines,
         ACADEMY.instances,
-        EngineFigures(),
-        FleetFigures(),
+        EngineParameters(),
+        FleetParameters(),
         lambda fleet: create_placement(),
         case.seed,
         QUEUES[case.queue],
--- a/bench/model/__init__.py
+++ b/bench/model/__init__.py
@@ -1,14 +1,14 @@
-"""A small model of engines and instances in virtual time."""
+"""Simulation of engines and instances in virtual time."""
 
-from bench.model._engine import EngineFigures, FakeEngine, Job
-from bench.model._fleet import Fleet, FleetFigures, RequestRecord
+from bench.model._engine import EngineParameters, FakeEngine, Job
+from bench.model._fleet import Fleet, FleetParameters, RequestRecord
 from bench.model._schedule import Schedule
 
 __all__ = [
-    "EngineFigures",
+    "EngineParameters",
     "FakeEngine",
     "Fleet",
-    "FleetFigures",
+    "FleetParameters",
     "Job",
     "RequestRecord",
     "Schedule",
--- a/bench/placement_cases.py
+++ b/bench/placement_cases.py
@@ -20,7 +20,7 @@
     RandomPlacement,
     RoundRobinPlacement,
 )
-from bench.model import EngineFigures, Fleet, FleetFigures, RequestRecord
+from bench.model import EngineParameters, Fleet, FleetParameters, RequestRecord
 from bench.workloads import WORKLOADS, Workload
 from cassiaford.policy import PlacementPolicy, create_placement
 
@@ -105,8 +105,8 @@
     fleet = Fleet(
         workload.engines,
         workload.instances,
-        EngineFigures(),
-        FleetFigures(),
+        EngineParameters(),
+        FleetParameters(),
         POLICIES[case.policy],
         case.seed,
     )
