--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, the backend servers and the callers."""
+"""Stand-ins for the platform, the backend servers and the callers, and the demo."""
--- a/standins/_demo_calls.py
+++ b/standins/_demo_calls.py
@@ -1,4 +1,4 @@
-"""One call of a caller in the demo: its attempts, and when it may be repeated."""
+"""The calls of the demo's callers: sending, retrying and recording the outcome."""
 
 import enum
 import json
@@ -10,17 +10,17 @@
 import openai
 import urllib3
 
-from standins.answers import expected_answer
+from standins.answers import expected_completion
 
 ATTEMPT_TIMEOUT_S = 20.0
 CALL_TIMEOUT_S = 15.0
-LONGEST_PAUSE_S = 1.0
+MAX_RETRY_DELAY_S = 1.0
 IN_PROGRESS = "request_in_progress"
 CRASHES_SERVERS = "request_crashes_servers"
 
 
 class CallKind(enum.Enum):
-    """What a caller asks for."""
+    """The kind of a call; the values are printed in the table."""
 
     MARKING = "marking (stream)"
     CHECK = "quick check"
@@ -29,7 +29,7 @@
 
 
 class CallOutcome(enum.Enum):
-    """How a call ended for its caller, after all of its attempts."""
+    """The outcome of a call for its caller, after all attempts."""
 
     COMPLETED = "completed"
     REFUSED = "refused not-run"
@@ -40,8 +40,9 @@
 class Attempt:
     """One attempt at one instance.
 
-    `verdict` and `request_id` are what a refusal said, empty if there was
-    none. `cut` says that the answer broke off after its head.
+    `verdict`, `code` and `request_id` come from an error response and are
+    empty without one. `truncated` means that the response ended after its
+    head but before it was complete.
     """
 
     address: str
@@ -50,7 +51,7 @@
     code: str = ""
     request_id: str = ""
     retry_after_s: float = 0.0
-    cut: bool = False
+    truncated: bool = False
     not_sent: bool = False
     text: str = ""
     first_token_at: float | None = None
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True)
 class CallResult:
-    """A call with all of its attempts; `correct` is about the whole answer."""
+    """A finished call; `correct` tells whether the response had the expected text."""
 
     kind: CallKind
     outcome: CallOutcome
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Call:
-    """What is sent, to be tried at one address after the other."""
+    """A call that can be attempted at one address after the other."""
 
     kind: CallKind
     expected_text: str
@@ -88,15 +89,15 @@
         self.clients: dict[str, openai.OpenAI] = {}
 
     def marking(self, body: dict) -> Call:
-        """Return a streaming call."""
-        return Call(CallKind.MARKING, expected_answer(body), self._streaming(body))
+        """Return a call with a streamed response."""
+        return Call(CallKind.MARKING, expected_completion(body), self._streaming(body))
 
     def check(self, body: dict) -> Call:
-        """Return a plain call."""
-        return Call(CallKind.CHECK, expected_answer(body), self._plain(body))
+        """Return a call without streaming."""
+        return Call(CallKind.CHECK, expected_completion(body), self._plain(body))
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close all clients and their connections."""
         for client in self.clients.values():
             client.close()
 
@@ -113,11 +114,11 @@
     def _plain(self, body):
         def attempt(address):
             try:
-                answer = self._client(address).chat.completions.create(**body)
+                response = self._client(address).chat.completions.create(**body)
             except openai.APIError as error:
-                return _failed(address, error)
-            text = answer.choices[0].message.content or ""
-            return _completed(address, text, time.monotonic(), answer.usage)
+                return _failed_attempt(address, error)
+            text = response.choices[0].message.content or ""
+            return _completed_attempt(address, text, time.monotonic(), response.usage)
 
         return attempt
 
@@ -130,7 +131,7 @@
                     **body, **options
                 )
             except openai.APIError as error:
-                return _failed(address, error)
+                return _failed_attempt(address, error)
             return _read_stream(address, stream)
 
         return attempt
@@ -144,7 +145,7 @@
         self.http = urllib3.PoolManager(retries=False, timeout=ATTEMPT_TIMEOUT_S)
 
     def booking(self, idempotency_key: str, exam: int) -> Call:
-        """Return a booking, which must not run twice."""
+        """Return a booking call, which must not run twice."""
         headers = {"Idempotency-Key": idempotency_key}
 
         def attempt(address):
@@ -153,7 +154,7 @@
         return Call(CallKind.BOOKING, "", attempt, idempotency_key)
 
     def lookup(self, subject: str) -> Call:
-        """Return a lookup."""
+        """Return a lookup call."""
 
         def attempt(address):
             return self._send("GET", address, f"/lookup/{subject}", {}, None)
@@ -172,30 +173,30 @@
         if response.status < 300:
             now = time.monotonic()
             return Attempt(address, completed=True, first_token_at=now)
-        return _refused(address, _error_of(response.data))
+        return _refused_attempt(address, _error_object(response.data))
 
 
 def perform(
-    call: Call, addresses: Callable[[Attempt | None], str | None]
+    call: Call, next_address: Callable[[Attempt | None], str | None]
 ) -> CallResult:
-    """Try a call until it has a final answer, and return what became of it.
+    """Attempt a call until its outcome is final, and return the result.
 
-    Every call here may be repeated: a model call because it changes nothing,
-    a booking because it carries an idempotency key. `addresses` returns where
-    to try next, given the last attempt, or None if there is nowhere.
+    Every call here may be retried: a model call because it changes nothing,
+    a booking because it carries an idempotency key. `next_address` returns the
+    address to try next, given the last attempt, or None if there is none.
     """
     started_at = time.monotonic()
     attempts = []
     last = None
     while time.monotonic() < started_at + CALL_TIMEOUT_S:
-        address = addresses(last)
+        address = next_address(last)
         if address is None:
             break
         last = call.attempt(address)
         attempts.append(last)
         if last.completed or _is_final(call, last):
             break
-        time.sleep(min(LONGEST_PAUSE_S, last.retry_after_s or 0.05))
+        time.sleep(min(MAX_RETRY_DELAY_S, last.retry_after_s or 0.05))
     return _result(call, tuple(attempts), started_at)
 
 
@@ -207,8 +208,8 @@
         outcome = CallOutcome.REFUSED
     else:
         outcome = CallOutcome.MAY_HAVE_RUN
-    tokens_at = [a.first_token_at for a in attempts if a.first_token_at is not None]
-    first_token_s = min(tokens_at) - started_at if tokens_at else None
+    token_times = [a.first_token_at for a in attempts if a.first_token_at is not None]
+    first_token_s = min(token_times) - started_at if token_times else None
     correct = not completed or attempts[-1].text == call.expected_text
     return CallResult(
         call.kind, outcome, attempts, first_token_s, correct, call.idempotency_key
@@ -216,7 +217,7 @@
 
 
 def _is_final(call, attempt):
-    """Return whether the answer says that trying again cannot help."""
+    """Return whether the response says that another attempt cannot help."""
     if attempt.verdict == "not_run":
         return attempt.retry_after_s == 0.0
     if call.kind is CallKind.BOOKING:
@@ -235,15 +236,15 @@
                     text.append(choice.delta.content)
                 finished = finished or choice.finish_reason is not None
     except (openai.APIError, httpx2.HTTPError) as error:
-        refused = _failed(address, error, first_token_at)
-        # Only an error that came as an event ends a stream as it should.
-        return replace(refused, cut=not refused.verdict)
+        failed = _failed_attempt(address, error, first_token_at)
+        # A stream may end with an error event; any other error truncated it.
+        return replace(failed, truncated=not failed.verdict)
     if not finished:
-        return Attempt(address, cut=True, first_token_at=first_token_at)
-    return _completed(address, "".join(text), first_token_at, usage)
+        return Attempt(address, truncated=True, first_token_at=first_token_at)
+    return _completed_attempt(address, "".join(text), first_token_at, usage)
 
 
-def _completed(address, text, first_token_at, usage):
+def _completed_attempt(address, text, first_token_at, usage):
     details = usage.prompt_tokens_details if usage else None
     return Attempt(
         address,
@@ -255,17 +256,17 @@
     )
 
 
-def _failed(address, error, first_token_at=None):
+def _failed_attempt(address, error, first_token_at=None):
     if not isinstance(error, openai.APIError):
         return Attempt(address, first_token_at=first_token_at)
     if isinstance(error, openai.APIConnectionError):
-        refused = isinstance(error.__cause__, httpx2.ConnectError)
-        return Attempt(address, not_sent=refused, first_token_at=first_token_at)
+        not_sent = isinstance(error.__cause__, httpx2.ConnectError)
+        return Attempt(address, not_sent=not_sent, first_token_at=first_token_at)
     body = error.body if isinstance(error.body, dict) else {}
-    return _refused(address, body, first_token_at)
+    return _refused_attempt(address, body, first_token_at)
 
 
-def _refused(address, error, first_token_at=None):
+def _refused_attempt(address, error, first_token_at=None):
     return Attempt(
         address,
         verdict=error.get("verdict", ""),
@@ -276,7 +277,7 @@
     )
 
 
-def _error_of(data):
+def _error_object(data):
     try:
         return json.loads(data)["error"]
     except (ValueError, KeyError, TypeError):
--- a/standins/_demo_report.py
+++ b/standins/_demo_report.py
@@ -1,4 +1,7 @@
-"""What the demo reports: a table of request classes, and checks from outside."""
+"""The demo's report: a table by request class, and the invariant checks.
+
+The checks use only what callers received and what backend servers recorded.
+"""
 
 import collections
 from collections.abc import Iterable, Sequence
@@ -9,7 +12,7 @@
 from standins._demo_calls import CallKind, CallOutcome, CallResult
 from standins._records import RunRecord
 
-HIGHEST_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 COLUMNS = (
     ("request class", 18),
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Check:
-    """One invariant, with what was counted for it."""
+    """The result of checking one invariant, with the counts behind it."""
 
     name: str
     held: bool
@@ -33,21 +36,21 @@
 
 @dataclass(frozen=True)
 class Evidence:
-    """All that the checks look at.
+    """The input of the checks.
 
-    `keys` are the secrets of callers, `records` those of all backend servers,
-    and `killed` is the address of the instance that was killed.
+    `keys` are the callers' secret keys, `records` the run records of all backend
+    servers, and `killed_address` is the address of the instance that was killed.
     """
 
     results: Sequence[CallResult]
     records: Sequence[RunRecord]
     keys: Sequence[str]
-    killed: str
+    killed_address: str
     stop_statuses: Sequence[int]
 
 
 def format_table(results: Sequence[CallResult]) -> str:
-    """Return the table, one line for each request class."""
+    """Return the table: a header and one line for each request class."""
     lines = [_line([name for name, _ in COLUMNS])]
     for kind in CallKind:
         lines.append(_line(_cells(kind, [r for r in results if r.kind is kind])))
@@ -55,7 +58,7 @@
 
 
 def run_checks(evidence: Evidence) -> list[Check]:
-    """Return every invariant with whether it held."""
+    """Check every invariant and return the results."""
     return [
         _check_answers(evidence),
         _check_cuts(evidence),
@@ -75,10 +78,10 @@
 
 
 def _check_cuts(evidence):
-    cuts = [a.address for a in _attempts(evidence.results) if a.cut]
-    elsewhere = [address for address in cuts if address != evidence.killed]
-    detail = f"{len(cuts)} streams cut, {len(elsewhere)} by other instances"
-    return Check("only the killed instance cut streams", not elsewhere, detail)
+    truncated = [a.address for a in _attempts(evidence.results) if a.truncated]
+    by_others = [address for address in truncated if address != evidence.killed_address]
+    detail = f"{len(truncated)} streams cut, {len(by_others)} by other instances"
+    return Check("only the killed instance cut streams", not by_others, detail)
 
 
 def _check_bookings(evidence):
@@ -96,20 +99,22 @@
 
 
 def _check_keys(evidence):
-    seen = sum(
+    leaked = sum(
         1
         for record in evidence.records
         if any(key in value for key in evidence.keys for value in _texts(record))
     )
-    detail = f"{len(evidence.records)} requests seen by backend servers, {seen} with it"
-    return Check("no backend server saw a caller's key", not seen, detail)
+    detail = (
+        f"{len(evidence.records)} requests seen by backend servers, {leaked} with it"
+    )
+    return Check("no backend server saw a caller's key", not leaked, detail)
 
 
 def _check_refusals(evidence):
     started = {record.request_id for record in evidence.records if record.started}
-    claimed = [a for a in _attempts(evidence.results) if a.verdict == "not_run"]
-    wrong = sum(1 for attempt in claimed if attempt.request_id in started)
-    detail = f"{len(claimed)} refusals, {wrong} wrong"
+    refusals = [a for a in _attempts(evidence.results) if a.verdict == "not_run"]
+    wrong = sum(1 for attempt in refusals if attempt.request_id in started)
+    detail = f"{len(refusals)} refusals, {wrong} wrong"
     return Check("a refusal that says not run is true", not wrong, detail)
 
 
@@ -150,7 +155,7 @@
 
 
 def _latency(results):
-    histogram = HdrHistogram(1, HIGHEST_US, SIGNIFICANT_DIGITS)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for result in results:
         if result.first_token_s is not None:
             histogram.record_value(int(result.first_token_s * 1e6))
--- a/standins/_demo_sheet.py
+++ b/standins/_demo_sheet.py
@@ -1,4 +1,4 @@
-"""The day sheet of the demo's small Academy."""
+"""The day sheet (declared configuration) of the demo."""
 
 from collections.abc import Mapping
 from dataclasses import fields
@@ -9,7 +9,7 @@
 CUSTOMER = "academy"
 FORMER_CUSTOMER = "former-shop"
 MODEL = "binder-7b"
-# In tokens a second, and in tokens; well over what the demo's callers send.
+# Tokens per second and tokens; well above what the demo's callers use.
 RATE = 400_000
 BURST = 2_000_000
 MAX_OUTPUT = 1024
--- a/standins/_engine_cache.py
+++ b/standins/_engine_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of the engine stand-in and the events it publishes."""
+"""The prefix cache of the engine stand-in and the log of its cache events."""
 
 import collections
 import itertools
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-EVENT_LOG_LENGTH = 200_000
-MAX_EVENTS_IN_ANSWER = 10_000
+MIN_KEPT_EVENTS = 200_000
+MAX_EVENTS_IN_RESPONSE = 10_000
 
 
 @dataclass(frozen=True)
@@ -21,7 +21,10 @@
 
 
 class EventLog:
-    """Cache events, shown `lag_s` seconds late and some of them lost."""
+    """Log of cache events, which become visible after `lag_s` seconds.
+
+    A fraction `loss` of them, chosen by a seeded generator, is never delivered.
+    """
 
     def __init__(self, lag_s: float, loss: float, seed: int):
         self.lag_s = lag_s
@@ -31,35 +34,35 @@
         self.events: list[_LoggedEvent] = []
 
     def add(self, kind: str, block: int) -> None:
-        """Log an event."""
+        """Append an event."""
         visible_at = time.monotonic() + self.lag_s
         lost = self.rng.random() < self.loss
         sequence = self.first + len(self.events)
         self.events.append(_LoggedEvent(sequence, kind, block, visible_at, lost))
-        if len(self.events) > 2 * EVENT_LOG_LENGTH:
+        if len(self.events) > 2 * MIN_KEPT_EVENTS:
             self._trim()
 
     def after(self, sequence: int) -> dict:
-        """Return the visible events after a sequence number, in JSON form."""
+        """Return the visible events after a sequence number, ready for JSON."""
         now = time.monotonic()
         start = max(0, sequence + 1 - self.first)
-        newer = self.events[start : start + MAX_EVENTS_IN_ANSWER]
-        newer = [event for event in newer if event.visible_at <= now]
-        shown = [event for event in newer if not event.lost]
-        last = newer[-1].sequence if newer else sequence
+        visible = self.events[start : start + MAX_EVENTS_IN_RESPONSE]
+        visible = [event for event in visible if event.visible_at <= now]
+        delivered = [event for event in visible if not event.lost]
+        last = visible[-1].sequence if visible else sequence
         return {
-            "events": [_shown(event) for event in shown],
+            "events": [_event_json(event) for event in delivered],
             "next_sequence": last + 1,
-            "gap": len(shown) < last - sequence,
+            "gap": len(delivered) < last - sequence,
         }
 
     def _trim(self):
-        del self.events[:EVENT_LOG_LENGTH]
-        self.first += EVENT_LOG_LENGTH
+        del self.events[:MIN_KEPT_EVENTS]
+        self.first += MIN_KEPT_EVENTS
 
 
 class PrefixCache:
-    """Blocks by their chained hash; the least recently used go first."""
+    """An LRU cache of prompt blocks, identified by their chained hash."""
 
     def __init__(self, capacity: int, log: EventLog):
         self.capacity = capacity
@@ -72,7 +75,7 @@
         return sum(1 for _ in cached)
 
     def store(self, chain: Sequence[int]) -> None:
-        """Keep the blocks of a chain, the outermost as the newest."""
+        """Cache the blocks of a chain, its first block as the most recently used."""
         for block in reversed(chain[: self.capacity]):
             if block not in self.blocks:
                 self.log.add("stored", block)
@@ -83,7 +86,7 @@
             self.log.add("evicted", block)
 
 
-def _shown(event):
+def _event_json(event):
     return {
         "sequence": event.sequence,
         "kind": event.kind,
--- a/standins/_engine_orders.py
+++ b/standins/_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine stand-in and the weights it loads for them."""
+"""The orders that the engine stand-in accepts, and the weight loads they start."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 
 @dataclass(frozen=True)
-class Refused:
-    """Why an order was not accepted."""
+class Rejection:
+    """The reason for which an order was not accepted."""
 
     reason: str
 
 
 class Orders:
-    """Takes orders, with their fencing numbers checked or ignored."""
+    """Accepts and runs orders; checking their fencing numbers is optional."""
 
     def __init__(
         self, models: dict[str, str], checks_fencing: bool, weight_store: str | None
@@ -28,12 +28,12 @@
         self.loading: set[str] = set()
         self.tasks: set[asyncio.Task] = set()
 
-    def take(self, order: dict) -> Refused | None:
-        """Accept an order, or say why not; the same one counts once."""
-        if any(known["order_id"] == order["order_id"] for known in self.accepted):
+    def accept(self, order: dict) -> Rejection | None:
+        """Accept an order or return why not; ignore one that was accepted before."""
+        if any(earlier["order_id"] == order["order_id"] for earlier in self.accepted):
             return None
         if self.checks_fencing and order["fencing"] < self.highest_fencing:
-            return Refused(f"fencing number below {self.highest_fencing}")
+            return Rejection(f"fencing number below {self.highest_fencing}")
         self.highest_fencing = max(self.highest_fencing, order["fencing"])
         self.accepted.append(order)
         self._start(order)
@@ -62,8 +62,8 @@
             self.loading.discard(model)
 
 
-class _Status:
-    """Collects the end of one answer."""
+class _CompletionCallbacks:
+    """Parser callbacks that record whether the response is complete."""
 
     def __init__(self):
         self.complete = False
@@ -76,9 +76,9 @@
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(f"GET {target} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode())
-    status = _Status()
-    parser = httptools.HttpResponseParser(status)
-    while not status.complete:
+    callbacks = _CompletionCallbacks()
+    parser = httptools.HttpResponseParser(callbacks)
+    while not callbacks.complete:
         data = await reader.read(65536)
         if not data:
             raise ConnectionError(f"{address} closed the connection")
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -1,7 +1,7 @@
 """A small HTTP server for the stand-ins: one event loop, many connections.
 
-Parsing is httptools'; here is only what a stand-in needs to misbehave on
-purpose: closing without an answer, and connections that go silent.
+It parses with httptools and supports two faults on purpose: closing a
+connection without a response, and connections that go silent.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """An answer with its whole body; the connection is kept."""
+    """A response with a complete body; the connection stays open after it."""
 
     status: int = 200
     body: bytes = b""
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A request as it came; header names are in lower case."""
+    """A received request; header names are in lower case."""
 
     method: str
     path: str
@@ -43,21 +43,21 @@
     connection: "Connection" = field(repr=False)
 
     def json(self) -> dict:
-        """Return the decoded body, an empty one as an empty object."""
+        """Return the decoded JSON body; an empty body counts as an empty object."""
         return json.loads(self.body or b"{}")
 
 
-# Returns None after having dealt with the connection by itself.
+# Returns None if it has written the response, or closed the connection, itself.
 Handler = Callable[[Request], Awaitable[Response | None]]
 
 
 def json_response(document: object, status: int = 200, headers=()) -> Response:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body."""
     return Response(status, json.dumps(document).encode(), (*JSON_HEADERS, *headers))
 
 
 def set_faults(faults: object, document: dict) -> Response:
-    """Switch the named faults of a data class and answer with all of them."""
+    """Set the named faults of a data class and return the state of all of them."""
     for name in document:
         if not hasattr(faults, name):
             raise ValueError(f"unknown fault {name!r}")
@@ -66,7 +66,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection; its requests are answered one after the other."""
+    """A connection; its requests are handled one after the other."""
 
     def __init__(self, server: "HttpServer"):
         self.server = server
@@ -79,13 +79,13 @@
         self._start_message()
 
     def connection_made(self, transport):
-        """Start to answer the requests of a new connection."""
+        """Start handling the requests of a new connection."""
         self.transport = transport
         self.server.connections.add(self)
-        self.task = asyncio.get_running_loop().create_task(self._answer_requests())
+        self.task = asyncio.get_running_loop().create_task(self._respond_to_requests())
 
     def connection_lost(self, exc):
-        """End the work on the connection."""
+        """Stop handling requests; cancel the current one if others are queued."""
         self.closed.set()
         self.server.connections.discard(self)
         if self.task and not self.requests.empty():
@@ -93,26 +93,26 @@
         self.requests.put_nowait(None)
 
     def data_received(self, data):
-        """Parse what arrived."""
+        """Parse received bytes; close the connection if they are malformed."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.close()
 
     def on_url(self, url):
-        """Take a part of the target."""
+        """Append to the target of the current request."""
         self._url += url
 
     def on_header(self, name, value):
-        """Take one header."""
+        """Add a header to the current request."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body):
-        """Take a part of the body."""
+        """Append to the body of the current request."""
         self._body += body
 
     def on_message_complete(self):
-        """Queue the request for its answer."""
+        """Queue the complete request for handling."""
         url = httptools.parse_url(bytes(self._url))
         request = Request(
             method=self.parser.get_method().decode(),
@@ -131,23 +131,23 @@
             self.transport.write(data)
 
     def write_head(self, status: int, headers) -> None:
-        """Send the head of an answer."""
+        """Send the status line and the headers of a response."""
         reason = http.client.responses.get(status, "Unknown")
         lines = [f"HTTP/1.1 {status} {reason}"]
         lines.extend(f"{name}: {value}" for name, value in headers)
         self.write(("\r\n".join(lines) + "\r\n\r\n").encode("latin-1"))
 
     def write_chunk(self, data: bytes) -> None:
-        """Send one chunk of a chunked body; an empty one ends it."""
+        """Send one chunk of a chunked body; an empty chunk ends the body."""
         self.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def go_silent(self) -> None:
-        """Send and receive nothing more, but stay open."""
+        """Stop sending and receiving without closing the connection."""
         self.silent = True
         self.transport.pause_reading()
 
     def abort(self) -> None:
-        """Close at once, without an answer."""
+        """Close immediately, without a response."""
         self.transport.abort()
 
     def _start_message(self):
@@ -155,9 +155,9 @@
         self._headers = {}
         self._body = bytearray()
 
-    async def _answer_requests(self):
+    async def _respond_to_requests(self):
         while request := await self.requests.get():
-            response = await self.server.answer(request)
+            response = await self.server.respond(request)
             if response is not None:
                 length = ("Content-Length", str(len(response.body)))
                 self.write_head(response.status, (*response.headers, length))
@@ -165,7 +165,7 @@
 
 
 class HttpServer:
-    """Serves one handler on one address."""
+    """An HTTP server that passes every request to one handler."""
 
     def __init__(self, handler: Handler):
         self.handler = handler
@@ -179,8 +179,8 @@
             lambda: Connection(self), host, int(port), backlog=1024
         )
 
-    async def answer(self, request: Request) -> Response | None:
-        """Return the handler's answer, or an error in its place."""
+    async def respond(self, request: Request) -> Response | None:
+        """Return the handler's response, or an error response if it raises."""
         try:
             return await self.handler(request)
         except (ValueError, KeyError) as error:
@@ -189,27 +189,27 @@
             traceback.print_exc()
             return json_response({"error": repr(error)}, 500)
 
-    def silence(self, spared: Connection) -> int:
-        """Make all open connections but one go silent; return their number."""
-        chosen = [
-            connection for connection in self.connections if connection is not spared
+    def silence(self, excluded: Connection) -> int:
+        """Make all open connections but one go silent and return their number."""
+        silenced = [
+            connection for connection in self.connections if connection is not excluded
         ]
-        for connection in chosen:
+        for connection in silenced:
             connection.go_silent()
-        return len(chosen)
+        return len(silenced)
 
 
 def address_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser of command lines with the option for the address."""
+    """Return a command-line parser with the `--address` option."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--address", required=True, help="such as 127.0.0.1:9000")
     return parser
 
 
 def run_server(server: HttpServer, address: str, *background) -> None:
-    """Serve until SIGTERM arrives or the parent process is gone.
+    """Serve until SIGTERM arrives or the parent process has ended.
 
-    `background` are functions that return coroutines to run beside.
+    Each of `background` returns a coroutine that runs alongside the server.
     """
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_serve(server, address, background))
--- a/standins/_records.py
+++ b/standins/_records.py
@@ -1,6 +1,7 @@
-"""Records of the requests that a backend server ran or refused.
+"""Records of the requests that a backend server stand-in started or rejected.
 
-Tests read them to see what really ran. With a file they outlive the process.
+Tests read them to check what really ran. Kept in a file, they survive a kill
+of the process.
 """
 
 import json
@@ -11,9 +12,9 @@
 
 @dataclass(frozen=True)
 class RunRecord:
-    """One request as a backend server saw it.
+    """One request as the backend server received it.
 
-    `version` is that of the weights with which an engine started it.
+    `version` is the version of the weights with which an engine started it.
     """
 
     request_id: str
@@ -25,14 +26,14 @@
 
 
 class RunRecords:
-    """The records of one process, in memory and perhaps in a file."""
+    """The records of one process, in memory and optionally in a file."""
 
     def __init__(self, path: str | None = None):
         self.records: list[RunRecord] = []
         self.file = open(path, "a", buffering=1) if path else None  # noqa: SIM115
 
     def add(self, request: Request, started: bool, version: str = "") -> None:
-        """Record that a request was started or refused."""
+        """Record a started or rejected request."""
         record = RunRecord(
             request_id=request.headers.get("x-request-id", ""),
             idempotency_key=request.headers.get("idempotency-key", ""),
@@ -45,13 +46,13 @@
         if self.file:
             self.file.write(json.dumps(asdict(record)) + "\n")
 
-    def show(self, started: bool) -> list[dict]:
-        """Return the records of started or of refused requests."""
+    def to_json(self, started: bool) -> list[dict]:
+        """Return the records of started or of rejected requests, ready for JSON."""
         return [asdict(record) for record in self.records if record.started is started]
 
 
 def read_records(path: str) -> list[RunRecord]:
-    """Return the records in a file; a line cut by a crash is left out."""
+    """Return the records in a file; skip a line that a crash left incomplete."""
     records = []
     with open(path) as file:
         for line in file:
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,7 +1,7 @@
-"""The deterministic answers of the engine stand-in.
+"""The deterministic completions of the engine stand-in.
 
-The same model and prompt always give the same tokens, whichever engine runs
-the request, so that a caller can check that a stream is complete.
+The same model and prompt always give the same tokens, on whichever engine the
+request runs, so a caller can check that a response is complete and correct.
 """
 
 from collections.abc import Mapping
@@ -14,30 +14,30 @@
 
 
 def output_limit(body: Mapping[str, object]) -> int:
-    """Return the number of output tokens that a request body asks for."""
+    """Return the number of output tokens that a request body requests."""
     for name in ("max_completion_tokens", "max_tokens"):
         if body.get(name) is not None:
             return int(body[name])
     return DEFAULT_OUTPUT_TOKENS
 
 
-def answer_token(seed: int, index: int) -> str:
-    """Return one token of an answer."""
+def completion_token(seed: int, index: int) -> str:
+    """Return the token at an index of a completion."""
     return f"{xxhash.xxh3_64_intdigest(b'%d' % index, seed) & 0xFFFF:04x} "
 
 
-def answer_seed(model: str, prompt: bytes) -> int:
-    """Return the seed from which the tokens of an answer follow."""
+def completion_seed(model: str, prompt: bytes) -> int:
+    """Return the seed from which the tokens of a completion are generated."""
     return xxhash.xxh3_64_intdigest(model.encode() + b"\0" + prompt)
 
 
-def expected_answer(body: Mapping[str, object]) -> str:
-    """Return the whole text that an engine answers to a request body.
+def expected_completion(body: Mapping[str, object]) -> str:
+    """Return the complete text that an engine generates for a request body.
 
     Examples
     --------
-    >>> len(expected_answer({"model": "m", "prompt": "p", "max_tokens": 2}))
+    >>> len(expected_completion({"model": "m", "prompt": "p", "max_tokens": 2}))
     10
     """
-    seed = answer_seed(str(body["model"]), prompt_text(body))
-    return "".join(answer_token(seed, index) for index in range(output_limit(body)))
+    seed = completion_seed(str(body["model"]), prompt_text(body))
+    return "".join(completion_token(seed, index) for index in range(output_limit(body)))
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,7 +1,7 @@
-"""A small installation on one machine: the platform, backends and instances.
+"""A small installation on one machine, of real processes.
 
-The demo, the tests and the benchmarks use it. Leaving the context ends every
-process and removes the directory with the settings and logs.
+It consists of platform stand-ins, backend server stand-ins and instances. The
+demo, the tests and the benchmarks use it.
 """
 
 import json
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """What an installation is made of.
+    """The composition of an installation.
 
-    `engine_options` are given to every engine. `settings` holds settings of
-    the instances beside the addresses and secrets, by section, and `program`
-    is the command that they are started with.
+    `engine_options` are passed to every engine. `settings` holds additional
+    settings of the instances by section; addresses and secrets are set by the
+    cluster. `program` is the command line of the product.
     """
 
     program: tuple[str, ...] = (sys.executable, "-m", "cassiaford")
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class InstanceAddresses:
-    """Where an instance listens."""
+    """The addresses on which an instance listens."""
 
     name: str
     data_centre: str
@@ -65,7 +65,10 @@
 
 
 class Cluster:
-    """The running processes of a layout.
+    """The running processes of a layout, as a context manager.
+
+    Leaving the context ends every process and removes the directory with the
+    settings, records and logs.
 
     Examples
     --------
@@ -103,7 +106,7 @@
         return [f"service-{index + 1}" for index in range(self.layout.services)]
 
     def start_platform(self) -> None:
-        """Start the platform's stand-ins and the backend servers."""
+        """Start the platform's stand-ins and the backend servers; wait for all."""
         group = self.group
         group.launch_stand_in(KEY_VALUE)
         lag = str(self.layout.list_lag_s)
@@ -118,7 +121,7 @@
             group.wait_until_open(name, group.addresses[name])
 
     def launch_engine(self, name: str) -> None:
-        """Start an engine, also again after it ended."""
+        """Start an engine, or restart it at its previous address."""
         models = [f"--model={model}={version}" for model, version in self.layout.models]
         self.group.launch_stand_in(
             "engine",
@@ -131,36 +134,36 @@
         )
 
     def servers(self) -> tuple[BackendServer, ...]:
-        """Return the backend servers as the configuration names them."""
+        """Return the backend servers as entries of the configuration."""
         engines = [self._engine(name) for name in self.engine_names]
         services = [self._service(name) for name in self.service_names]
         return (*engines, *services)
 
     def server_changes(self) -> tuple[Change, ...]:
-        """Return the changes that join all backend servers."""
+        """Return the configuration changes that add all backend servers."""
         return tuple(PutServer(server) for server in self.servers())
 
     def command(self, *arguments: str) -> dict:
-        """Run an operator's command and return the JSON that it prints."""
+        """Run an operator's command and return the decoded JSON that it prints."""
         environment = os.environ | self.group.environment
         environment["CASSIAFORD_KEY_VALUE"] = self.group.addresses[KEY_VALUE]
-        done = subprocess.run(
+        completed = subprocess.run(
             [*self.layout.program, *arguments, "--json"],
             env=environment,
             stdout=subprocess.PIPE,
             timeout=COMMAND_TIMEOUT_S,
             check=True,
         )
-        return json.loads(done.stdout)
+        return json.loads(completed.stdout)
 
     def apply_sheet(self, sheet: dict[str, object]) -> int:
-        """Apply a day sheet by the command and return its revision."""
+        """Apply a day sheet with the operator's command and return its revision."""
         path = self.directory / "day.toml"
         path.write_text(tomli_w.dumps(sheet), "utf-8")
         return self.command("sheet", "apply", str(path))["revision"]
 
     def connect_key_value(self) -> KeyValueService:
-        """Return a client of the key-value service."""
+        """Return a new client of the key-value service."""
         return connect_key_value(KeyValueSettings(**self._key_value_settings()))
 
     def apply(self, changes: Sequence[Change], author: str = "operator") -> int:
@@ -176,7 +179,7 @@
         finally:
             service.close()
         if not result.swapped:
-            raise RuntimeError(f"revision {number} was written by someone else")
+            raise RuntimeError(f"revision {number} was written concurrently")
         return number
 
     def start_instances(self) -> None:
@@ -188,28 +191,28 @@
             self.group.wait_until_ready(name, self.instances[name].http)
 
     def launch_instance(self, name: str) -> InstanceAddresses:
-        """Start an instance, also again after it ended, at its old addresses."""
-        known = self.instances.get(name)
-        addresses = known or self._new_instance(name)
+        """Start an instance, or restart it at its previous addresses."""
+        existing = self.instances.get(name)
+        addresses = existing or self._new_instance(name)
         self.instances[name] = addresses
         path = self.directory / f"{name}.toml"
         path.write_text(tomli_w.dumps(self._settings(addresses)), "utf-8")
         command = [*self.layout.program, "serve", "--settings", str(path)]
         self.group.start(name, command)
         self.incarnations += 1
-        self._put_on_list(addresses, leaving=False)
+        self._register(addresses, leaving=False)
         return addresses
 
     def kill_instance(self, name: str) -> None:
-        """Kill an instance at once; the list drops it after its lag."""
+        """Kill an instance; the instance list drops it after its lag."""
         self.group.kill(name)
-        self._call_list("DELETE", name)
+        self._call_instance_list("DELETE", name)
 
     def stop_instance(self, name: str, timeout_s: float) -> int:
         """Stop an instance gracefully and return its exit status."""
-        self._put_on_list(self.instances[name], leaving=True)
+        self._register(self.instances[name], leaving=True)
         status = self.group.terminate(name, timeout_s)
-        self._call_list("DELETE", name)
+        self._call_instance_list("DELETE", name)
         return status
 
     def settings_path(self, name: str) -> pathlib.Path:
@@ -217,11 +220,11 @@
         return self.directory / f"{name}.toml"
 
     def log_text(self, name: str) -> str:
-        """Return what a process wrote to its output."""
+        """Return what a process wrote to its standard output and error."""
         return (self.directory / f"{name}.log").read_text("utf-8", "replace")
 
     def run_records(self) -> dict[str, list[RunRecord]]:
-        """Return what each backend server ran and refused, the dead ones too."""
+        """Return the records of each backend server, ended ones included."""
         names = [*self.engine_names, *self.service_names]
         return {name: read_records(str(self._record_file(name))) for name in names}
 
@@ -279,7 +282,7 @@
             "list_address": self.group.addresses[INSTANCE_LIST],
         }
 
-    def _put_on_list(self, addresses, leaving):
+    def _register(self, addresses, leaving):
         record = {
             "instance": addresses.name,
             "incarnation": self.incarnations,
@@ -288,9 +291,9 @@
             "peer_address": addresses.peer,
             "leaving": leaving,
         }
-        self._call_list("PUT", addresses.name, record)
+        self._call_instance_list("PUT", addresses.name, record)
 
-    def _call_list(self, method, name, record=None):
+    def _call_instance_list(self, method, name, record=None):
         address = self.group.addresses[INSTANCE_LIST]
         url = f"http://{address}/v1/instances/{name}"
         self.group.http.request(method, url, json=record, timeout=5.0)
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,9 +1,9 @@
-"""Runs a small Academy on the real product, with faults, and checks it.
+"""Runs the product under load and faults on one machine and checks invariants.
 
-Starts the stand-ins and three instances, sends requests as callers would,
-kills one instance and one engine while they run, withdraws a key, stops the
-rest gracefully, prints a table, and ends with status 0 only if every
-invariant held.
+The demo starts the stand-ins and three instances, sends requests as callers
+would, kills one instance and one engine meanwhile, withdraws a key, stops the
+other instances gracefully and prints a table. The exit status is 0 only if
+every invariant held.
 """
 
 import signal
@@ -12,7 +12,7 @@
 
 import urllib3
 
-from standins._demo_callers import Academy, CallerPool, EntryFinder
+from standins._demo_callers import AcademyWorkload, CallerPool, EntryFinder
 from standins._demo_report import Check, Evidence, format_table, run_checks
 from standins._demo_sheet import CUSTOMER, FORMER_CUSTOMER, MODEL, academy_sheet
 from standins.cluster import Cluster, Layout
@@ -22,9 +22,9 @@
 MARKING_CALLERS = 10
 CHECK_CALLERS = 4
 SERVICE_PAUSE_S = 0.2
-# How long the callers run before, between and after the faults.
+# The callers run for this time before, between and after the faults.
 PHASE_S = 3.0
-MEETING_TIMEOUT_S = 10.0
+MEMBERSHIP_TIMEOUT_S = 10.0
 WITHDRAWAL_BOUND_S = 5.0
 STOP_TIMEOUT_S = 20.0
 LAYOUT = Layout(
@@ -35,7 +35,7 @@
 
 
 class Demo:
-    """The steps of the demo."""
+    """The state and the steps of the demo."""
 
     def __init__(self, cluster: Cluster):
         self.cluster = cluster
@@ -44,7 +44,7 @@
         self.callers = CallerPool(self.finder)
         self.checks: list[Check] = []
         self.stop_statuses: list[int] = []
-        self.killed = ""
+        self.killed_address = ""
 
     def run(self) -> bool:
         """Run all steps and return whether every invariant held."""
@@ -62,29 +62,34 @@
         return all(check.held for check in self.checks)
 
     def _set_up(self):
-        _say("starting the platform and the backend servers")
+        _print_line("starting the platform and the backend servers")
         self.cluster.start_platform()
         revision = self.cluster.apply_sheet(academy_sheet(self.cluster))
-        _say(f"day sheet applied as revision {revision}")
+        _print_line(f"day sheet applied as revision {revision}")
         for customer in (CUSTOMER, FORMER_CUSTOMER):
             self.keys[customer] = self.cluster.command("key", "grant", customer)
-        _say(f"starting {LAYOUT.instances} instances")
+        _print_line(f"starting {LAYOUT.instances} instances")
         self.cluster.start_instances()
-        known = [instance.http for instance in self.cluster.instances.values()]
-        self.finder.known.extend(known)
-        entries = [self._name_of(address) for address in self._ask_for_all()]
-        _say(f"entry instances for {CUSTOMER}: {', '.join(entries)}")
-
-    def _ask_for_all(self):
-        """Return the entries once the instances know each other."""
-        end = time.monotonic() + MEETING_TIMEOUT_S
-        while len(self.finder.ask()) < LAYOUT.instances and time.monotonic() < end:
+        known_addresses = [
+            instance.http for instance in self.cluster.instances.values()
+        ]
+        self.finder.known_addresses.extend(known_addresses)
+        entries = [self._name_of(address) for address in self._wait_for_all_entries()]
+        _print_line(f"entry instances for {CUSTOMER}: {', '.join(entries)}")
+
+    def _wait_for_all_entries(self):
+        """Wait until the lookup names every instance; return the addresses."""
+        deadline = time.monotonic() + MEMBERSHIP_TIMEOUT_S
+        while (
+            len(self.finder.refresh()) < LAYOUT.instances
+            and time.monotonic() < deadline
+        ):
             time.sleep(0.05)
-        return self.finder.ask()
+        return self.finder.refresh()
 
     def _start_callers(self):
-        _say("callers start")
-        academy = Academy(MODEL, self.keys[CUSTOMER]["key"], SEED)
+        _print_line("callers start")
+        academy = AcademyWorkload(MODEL, self.keys[CUSTOMER]["key"], SEED)
         for _ in range(MARKING_CALLERS):
             self.callers.start(academy.marking)
         for _ in range(CHECK_CALLERS):
@@ -93,30 +98,30 @@
         self.callers.start(academy.lookup, SERVICE_PAUSE_S)
 
     def _kill_instance(self):
-        self.killed = self.finder.ask()[0]
-        name = self._name_of(self.killed)
-        _say(f"killing instance {name} while requests run")
+        self.killed_address = self.finder.refresh()[0]
+        name = self._name_of(self.killed_address)
+        _print_line(f"killing instance {name} while requests run")
         self.cluster.kill_instance(name)
 
     def _kill_engine(self):
         name = self.cluster.engine_names[0]
-        _say(f"killing {name} while requests run")
+        _print_line(f"killing {name} while requests run")
         self.cluster.group.kill(name)
 
     def _withdraw_key(self):
-        _say(f"withdrawing the key of {FORMER_CUSTOMER}")
-        before = self._statuses_of_former_key()
+        _print_line(f"withdrawing the key of {FORMER_CUSTOMER}")
+        before = self._former_key_statuses()
         key_id = self.keys[FORMER_CUSTOMER]["key_id"]
         self.cluster.command("key", "withdraw", key_id)
-        end = time.monotonic() + WITHDRAWAL_BOUND_S
-        while time.monotonic() < end and set(self._statuses_of_former_key()) != {401}:
+        deadline = time.monotonic() + WITHDRAWAL_BOUND_S
+        while time.monotonic() < deadline and set(self._former_key_statuses()) != {401}:
             time.sleep(0.05)
-        after = self._statuses_of_former_key()
+        after = self._former_key_statuses()
         held = set(before) == {200} and set(after) == {401}
         detail = f"statuses before {before}, after {after}"
         self.checks.append(Check("a withdrawn key stops in seconds", held, detail))
 
-    def _statuses_of_former_key(self):
+    def _former_key_statuses(self):
         headers = {"Authorization": f"Bearer {self.keys[FORMER_CUSTOMER]['key']}"}
         return [
             urllib3.request(
@@ -131,10 +136,10 @@
 
     def _stop_instances(self):
         first, last = [self._name_of(address) for address in self._live_addresses()]
-        _say(f"stopping {first} gracefully while requests run")
+        _print_line(f"stopping {first} gracefully while requests run")
         self._stop(first)
-        self.callers.end()
-        _say(f"stopping {last} gracefully while the last requests run")
+        self.callers.stop()
+        _print_line(f"stopping {last} gracefully while the last requests run")
         self._stop(last)
         ended = self.callers.join(STOP_TIMEOUT_S)
         held = ended and not self.callers.faults
@@ -150,7 +155,7 @@
             results=tuple(self.callers.results),
             records=records,
             keys=[granted["key"] for granted in self.keys.values()],
-            killed=self.killed,
+            killed_address=self.killed_address,
             stop_statuses=self.stop_statuses,
         )
         self.checks.extend(run_checks(evidence))
@@ -158,7 +163,7 @@
         print(format_table(evidence.results))
         print("(first token: of requests that do not stream, the whole answer)")
         print()
-        _say(f"took {elapsed_s:.1f} s after set-up")
+        _print_line(f"took {elapsed_s:.1f} s after set-up")
 
     def _live_addresses(self):
         return [
@@ -176,7 +181,7 @@
 
 def main() -> int:
     """Run the demo and return the exit status."""
-    # Ends the processes also when the demo itself is asked to end.
+    # On SIGTERM, leave the contexts, so that the child processes end too.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     with Cluster(LAYOUT) as cluster:
         demo = Demo(cluster)
@@ -189,7 +194,7 @@
     return 0 if held and not left else 1
 
 
-def _say(text):
+def _print_line(text):
     print(text, flush=True)
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,9 +1,9 @@
-"""Stand-in for a model engine behind the OpenAI-compatible interface.
+"""Stand-in for a model engine with an OpenAI-compatible API.
 
-Its answers follow from the prompt's hash (`standins.answers`). For tests:
-``GET /control/runs`` and ``/control/refusals`` list the requests it started
-and refused, ``GET /control/orders`` the orders it accepted, and
-``POST /control/silence`` makes all open connections go silent.
+Its completions are derived from a hash of the prompt (`standins.answers`).
+For tests, ``GET /control/runs`` and ``/control/refusals`` list the requests
+that it started and rejected, ``GET /control/orders`` lists the accepted orders,
+and ``POST /control/silence`` makes all other open connections go silent.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 
 from cassiaford.engines import BYTES_PER_TOKEN, block_chain, prompt_text
 from standins._engine_cache import EventLog, PrefixCache
-from standins._engine_jobs import Job, Scheduler, Speed, Work
+from standins._engine_jobs import EngineCapacity, Job, JobSpec, Scheduler
 from standins._engine_orders import Orders
 from standins._http import (
     HttpServer,
@@ -24,7 +24,7 @@
     run_server,
 )
 from standins._records import RunRecords
-from standins.answers import answer_seed, output_limit
+from standins.answers import completion_seed, output_limit
 
 CRASH_STATUS = 70
 NOT_STARTED = ("X-Not-Started", "true")
@@ -37,7 +37,7 @@
 
 
 class EngineStandIn:
-    """The engine's calls."""
+    """The handlers of the engine's API calls."""
 
     def __init__(self, options: argparse.Namespace):
         self.options = options
@@ -47,20 +47,20 @@
         log = EventLog(options.event_lag_s, options.event_loss, options.seed)
         self.log = log
         self.cache = PrefixCache(options.cache_blocks, log)
-        speed = Speed(
+        capacity = EngineCapacity(
             options.prefill_rate,
             options.token_interval_s,
             options.slots,
             options.queue_length,
         )
-        self.scheduler = Scheduler(speed, self.cache)
+        self.scheduler = Scheduler(capacity, self.cache)
         self.records = RunRecords(options.record_file)
         self.jobs: dict[str, Job] = {}
         self.server = HttpServer(self.handle)
         self.reported_load = self._load()
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one call."""
+        """Handle one API call."""
         if request.method == "POST" and request.path in COMPLETION_PATHS:
             return await self._complete(request)
         if request.method == "DELETE" and request.path.startswith("/v1/requests/"):
@@ -71,7 +71,7 @@
         return call(request)
 
     async def report_load(self) -> None:
-        """Renew the load report every now and then, so that it lags."""
+        """Refresh the reported load at an interval, so that it lags behind."""
         while True:
             self.reported_load = self._load()
             await asyncio.sleep(self.options.load_lag_s)
@@ -84,37 +84,39 @@
             ("POST", "/v1/orders"): self._order,
             ("POST", "/v1/cache/export"): self._export,
             ("POST", "/v1/cache/import"): self._import,
-            ("GET", "/control/runs"): lambda _: json_response(self.records.show(True)),
-            ("GET", "/control/refusals"): self._refusals,
+            ("GET", "/control/runs"): lambda _: json_response(
+                self.records.to_json(True)
+            ),
+            ("GET", "/control/refusals"): self._rejections,
             ("GET", "/control/orders"): lambda _: json_response(self.orders.accepted),
             ("POST", "/control/silence"): self._silence,
         }
 
     async def _complete(self, request):
         request_id = request.headers.get("x-request-id") or uuid.uuid4().hex
-        known = self.jobs.get(request_id)
+        existing = self.jobs.get(request_id)
         offset = request.headers.get("x-resume-offset")
         if offset is not None:
-            if known is None or known.cancelled:
-                return _error(404, "request not known", NOT_STARTED)
-            return await self._answer(known, request, int(offset))
-        if known is not None:
-            return _error(409, "a request with this identifier has run")
+            if existing is None or existing.cancelled:
+                return _error(404, "unknown request", NOT_STARTED)
+            return await self._respond(existing, request, int(offset))
+        if existing is not None:
+            return _error(409, "a request with this identifier was already started")
         try:
-            work = _work(request, request_id)
+            spec = _job_spec(request, request_id)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            return self._refuse(request, 400, str(error))
-        if not self.orders.serves(work.model):
-            status = 503 if work.model in self.orders.loading else 404
-            return self._refuse(request, status, f"model {work.model!r} not loaded")
+            return self._reject(request, 400, str(error))
+        if not self.orders.serves(spec.model):
+            status = 503 if spec.model in self.orders.loading else 404
+            return self._reject(request, status, f"model {spec.model!r} not loaded")
         if self.scheduler.full:
-            return self._refuse(request, 503, "queue full")
-        return await self._answer(self._start(request, work), request, 0)
+            return self._reject(request, 503, "queue full")
+        return await self._respond(self._start(request, spec), request, 0)
 
-    def _start(self, request, work):
-        job = Job(work)
-        self.jobs[work.request_id] = job
-        version = self.orders.models[work.model]
+    def _start(self, request, spec):
+        job = Job(spec)
+        self.jobs[spec.request_id] = job
+        version = self.orders.models[spec.model]
         self.records.add(request, started=True, version=version)
         marker = self.options.crash_marker
         if marker and marker.encode() in request.body:
@@ -122,46 +124,46 @@
         self.scheduler.submit(job)
         return job
 
-    async def _answer(self, job, request, offset):
-        _keep(job)
+    async def _respond(self, job, request, offset):
+        _cancel_removal(job)
         job.connections += 1
         try:
-            if job.work.streaming:
+            if job.spec.streaming:
                 await _stream(job, request, offset)
                 return None
-            await _either(job.ended, request.connection.closed)
+            await _wait_for_any(job.ended, request.connection.closed)
             if job.cancelled:
                 request.connection.abort()
                 return None
-            return json_response(job.whole_answer(), 200, _echo(request))
+            return json_response(job.full_response(), 200, _echoed_headers(request))
         finally:
-            self._release(job)
+            self._end_connection(job)
 
-    def _release(self, job):
-        """Forget a job some seconds after its last connection is gone."""
+    def _end_connection(self, job):
+        """Schedule the removal of a job when its last connection ends."""
         job.connections -= 1
         if job.connections:
             return
         loop = asyncio.get_running_loop()
-        job.forget_timer = loop.call_later(self.options.resume_s, self._forget, job)
+        job.removal_timer = loop.call_later(self.options.resume_s, self._remove, job)
 
-    def _forget(self, job):
-        self.scheduler.drop(job)
-        self.jobs.pop(job.work.request_id, None)
+    def _remove(self, job):
+        self.scheduler.cancel(job)
+        self.jobs.pop(job.spec.request_id, None)
 
     def _cancel(self, request_id):
         job = self.jobs.get(request_id)
         if job is None:
-            return _error(404, "request not known")
-        self.scheduler.drop(job)
+            return _error(404, "unknown request")
+        self.scheduler.cancel(job)
         return Response(204)
 
-    def _refuse(self, request, status, message):
+    def _reject(self, request, status, message):
         self.records.add(request, started=False)
         return _error(status, message, NOT_STARTED, ("Retry-After", "1"))
 
-    def _refusals(self, request):
-        return json_response(self.records.show(False))
+    def _rejections(self, request):
+        return json_response(self.records.to_json(False))
 
     def _models(self, request):
         models = [
@@ -185,14 +187,14 @@
         return json_response({"incarnation": self.incarnation} | events)
 
     def _order(self, request):
-        refused = self.orders.take(request.json())
-        reason = refused.reason if refused else ""
-        return json_response({"accepted": refused is None, "reason": reason})
+        rejection = self.orders.accept(request.json())
+        reason = rejection.reason if rejection else ""
+        return json_response({"accepted": rejection is None, "reason": reason})
 
     def _export(self, request):
         blocks = [int(block, 16) for block in request.json()["blocks"]]
-        held = sum(1 for block in blocks if block in self.cache.blocks)
-        return json_response({"blocks": held})
+        cached = sum(1 for block in blocks if block in self.cache.blocks)
+        return json_response({"blocks": cached})
 
     def _import(self, request):
         blocks = [int(block, 16) for block in request.json()["blocks"]]
@@ -203,18 +205,18 @@
         return json_response({"silenced": self.server.silence(request.connection)})
 
 
-def _work(request, request_id):
+def _job_spec(request, request_id):
     body = request.json()
     prompt = prompt_text(body)
     salt = int(request.headers.get("x-cache-salt", "0"), 16)
     stream_options = body.get("stream_options") or {}
-    return Work(
+    return JobSpec(
         request_id=request_id,
         priority=int(request.headers.get("x-priority", "1")),
         model=body["model"],
         prompt_tokens=max(1, len(prompt) // BYTES_PER_TOKEN),
         chain=block_chain(salt, prompt),
-        seed=answer_seed(body["model"], prompt),
+        seed=completion_seed(body["model"], prompt),
         output_tokens=output_limit(body),
         chat=request.path.endswith("/chat/completions"),
         streaming=bool(body.get("stream")),
@@ -223,29 +225,29 @@
 
 
 async def _stream(job, request, offset):
-    """Send the events from an offset on, until the job or connection ends."""
+    """Send the events from an offset until the job or the connection ends."""
     connection = request.connection
-    connection.write_head(200, (*STREAM_HEADERS, *_echo(request)))
+    connection.write_head(200, (*STREAM_HEADERS, *_echoed_headers(request)))
     for event in job.events[offset:]:
         connection.write_chunk(event)
 
-    def listen(event):
+    def on_event(event):
         if event is not None:
             connection.write_chunk(event)
 
-    job.listeners.append(listen)
+    job.listeners.append(on_event)
     try:
-        await _either(job.ended, connection.closed)
+        await _wait_for_any(job.ended, connection.closed)
     finally:
-        job.listeners.remove(listen)
+        job.listeners.remove(on_event)
     if job.cancelled:
         connection.abort()
     else:
         connection.write_chunk(b"")
 
 
-def _echo(request):
-    """Return the headers that say which request is answered, and from where."""
+def _echoed_headers(request):
+    """Return the request's identifier and resume offset as response headers."""
     return tuple(
         (name, request.headers[name])
         for name in ECHOED_HEADERS
@@ -253,8 +255,8 @@
     )
 
 
-async def _either(*events):
-    """Wait until one of some events is set."""
+async def _wait_for_any(*events):
+    """Wait until at least one of the events is set."""
     tasks = [asyncio.ensure_future(event.wait()) for event in events]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -263,10 +265,10 @@
             task.cancel()
 
 
-def _keep(job):
-    if job.forget_timer:
-        job.forget_timer.cancel()
-        job.forget_timer = None
+def _cancel_removal(job):
+    if job.removal_timer:
+        job.removal_timer.cancel()
+        job.removal_timer = None
 
 
 def _error(status, message, *headers):
@@ -278,19 +280,19 @@
     parser = address_parser(__doc__)
     add = parser.add_argument
     add("--model", action="append", default=[], help="NAME=VERSION, may be repeated")
-    add("--prefill-rate", type=float, default=20_000.0, help="tokens a second")
+    add("--prefill-rate", type=float, default=20_000.0, help="tokens per second")
     add("--token-interval-s", type=float, default=0.02)
     add("--slots", type=int, default=32)
     add("--queue-length", type=int, default=64)
     add("--cache-blocks", type=int, default=256)
     add("--resume-s", type=float, default=5.0)
     add("--event-lag-s", type=float, default=0.05)
-    add("--event-loss", type=float, default=0.0, help="share of events lost")
+    add("--event-loss", type=float, default=0.0, help="fraction of events lost")
     add("--load-lag-s", type=float, default=0.2)
     add("--check-fencing", action="store_true")
     add("--weight-store", help="address of the weight store")
-    add("--crash-marker", default="", help="text in a prompt that ends the process")
-    add("--record-file", help="file that the run records are appended to")
+    add("--crash-marker", default="", help="text in a request that crashes the process")
+    add("--record-file", help="file to append run records to")
     add("--seed", type=int, default=1)
     return parser.parse_args()
 
--- a/standins/instance_list.py
+++ b/standins/instance_list.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's list of instances, which shows changes late."""
+"""Stand-in for the platform's instance list, which shows changes after a lag.
+
+``POST /control/faults`` with `down` makes it respond 503 to every call.
+"""
 
 import asyncio
 
@@ -15,7 +18,7 @@
 
 
 class InstanceListStandIn:
-    """A list that takes `lag_s` seconds to show a change."""
+    """An instance list that shows each change after `lag_s` seconds."""
 
     def __init__(self, lag_s: float):
         self.lag_s = lag_s
@@ -23,7 +26,7 @@
         self.down = False
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one call."""
+        """Handle one API call."""
         if request.path == "/control/faults":
             self.down = bool(request.json()["down"])
             return json_response({"down": self.down})
@@ -33,14 +36,14 @@
             return json_response({"instances": list(self.records.values())})
         name = request.path.removeprefix(PREFIX)
         if request.method == "PUT":
-            self._later(self.records.__setitem__, name, request.json())
+            self._apply_after_lag(self.records.__setitem__, name, request.json())
             return Response(204)
         if request.method == "DELETE":
-            self._later(self.records.pop, name, None)
+            self._apply_after_lag(self.records.pop, name, None)
             return Response(204)
         return json_response({"error": "unknown call"}, 404)
 
-    def _later(self, change, *arguments):
+    def _apply_after_lag(self, change, *arguments):
         asyncio.get_running_loop().call_later(self.lag_s, change, *arguments)
 
 
--- a/standins/key_value.py
+++ b/standins/key_value.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform's key-value service.
 
-``POST /control/faults`` sets any of: `down` (every call is answered 503),
-`delay_s` (before each call takes effect), `lose_write_answers` (so many
-writes take effect and their connection is closed without an answer).
-``GET /control/counts`` gives the calls so far by kind.
+``POST /control/faults`` sets any of: `down` (every call gets a 503), `delay_s`
+(a delay before each call takes effect), `lose_write_answers` (the number of
+writes that take effect but whose connection is closed without a response).
+``GET /control/counts`` returns the number of calls so far by kind.
 """
 
 import asyncio
@@ -50,26 +50,26 @@
 
 
 class Store:
-    """Entries with versions, leases, and the changes that watches wait for."""
+    """Versioned entries, leases, and an event that wakes watches on changes."""
 
     def __init__(self):
         self.entries: dict[str, _Entry] = {}
         self.leases: dict[str, _Lease] = {}
         self.changed = asyncio.Event()
-        # Versions never come twice, even when a key is deleted and set again.
+        # A version is never reused, even if a key is deleted and set again.
         self.versions = itertools.count(1)
         self.lease_ids = itertools.count(1)
 
-    def show(self, key: str) -> dict:
-        """Return an entry in its JSON form."""
+    def entry_json(self, key: str) -> dict:
+        """Return an entry ready for JSON; a missing key has version 0."""
         entry = self.entries.get(key)
         if entry is None:
             return {"key": key, "value": None, "version": 0}
         return {"key": key, "value": entry.value, "version": entry.version}
 
     def compare_and_swap(self, key, value, version, lease_id) -> bool:
-        """Set or delete a key if its version is as expected."""
-        if self.show(key)["version"] != version:
+        """Set or delete a key if it has the expected version and the lease exists."""
+        if self.entry_json(key)["version"] != version:
             return False
         if lease_id is not None and lease_id not in self.leases:
             return False
@@ -82,13 +82,13 @@
         return True
 
     def grant(self, ttl_s: float) -> str:
-        """Return the identifier of a new lease."""
+        """Create a lease and return its identifier."""
         lease_id = f"lease-{next(self.lease_ids)}"
         self.leases[lease_id] = _Lease(ttl_s, time.monotonic() + ttl_s)
         return lease_id
 
     def renew(self, lease_id: str) -> bool:
-        """Renew a lease that has not lapsed."""
+        """Renew a lease; return False if it has expired."""
         self.expire()
         lease = self.leases.get(lease_id)
         if lease is None:
@@ -97,7 +97,7 @@
         return True
 
     def revoke(self, lease_id: str) -> None:
-        """End a lease and delete its keys."""
+        """Remove a lease and delete its keys."""
         lease = self.leases.pop(lease_id, None)
         for key in lease.keys if lease else ():
             entry = self.entries.get(key)
@@ -106,14 +106,16 @@
         self.notify()
 
     def expire(self) -> None:
-        """End the leases that were not renewed in time."""
+        """Revoke the leases that were not renewed in time."""
         now = time.monotonic()
-        lapsed = [name for name, lease in self.leases.items() if lease.expires_at < now]
-        for lease_id in lapsed:
+        expired = [
+            name for name, lease in self.leases.items() if lease.expires_at < now
+        ]
+        for lease_id in expired:
             self.revoke(lease_id)
 
     def notify(self) -> None:
-        """Wake the watches."""
+        """Wake all waiting watches."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -124,7 +126,7 @@
 
 
 class KeyValueStandIn:
-    """The calls of the service, with faults that can be switched on."""
+    """The handlers of the service's API calls, with faults that can be set."""
 
     def __init__(self):
         self.store = Store()
@@ -132,7 +134,7 @@
         self.counts = collections.Counter()
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one call."""
+        """Handle one API call."""
         if request.path == "/control/counts":
             return json_response(self.counts)
         if request.path == "/control/faults":
@@ -153,14 +155,14 @@
         return response
 
     async def expire_leases(self) -> None:
-        """End lapsed leases as long as the process runs."""
+        """Revoke expired leases periodically until cancelled."""
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             self.store.expire()
 
     def _set_faults(self, document):
         response = set_faults(self.faults, document)
-        # Waiting watches look at the new faults.
+        # Wake the watches so that they see the new faults.
         self.store.notify()
         return response
 
@@ -185,21 +187,27 @@
     async def _list(self, request):
         prefix = request.query.get("prefix", "")
         keys = sorted(key for key in self.store.entries if key.startswith(prefix))
-        return json_response({"entries": [self.store.show(key) for key in keys]})
+        return json_response({"entries": [self.store.entry_json(key) for key in keys]})
 
     async def _get(self, request):
-        return json_response(self.store.show(request.path.removeprefix("/v1/kv/")))
+        return json_response(
+            self.store.entry_json(request.path.removeprefix("/v1/kv/"))
+        )
 
     async def _watch(self, request):
         key = request.path.removeprefix("/v1/watch/")
         version = int(request.query["version"])
-        end = time.monotonic() + float(request.query["timeout"])
-        while not self.faults.down and self.store.show(key)["version"] == version:
-            rest = end - time.monotonic()
-            if rest <= 0 or request.connection.closed.is_set():
+        deadline = time.monotonic() + float(request.query["timeout"])
+        while not self.faults.down and self.store.entry_json(key)["version"] == version:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0 or request.connection.closed.is_set():
                 break
-            await _wait(self.store.changed, rest)
-        return UNAVAILABLE if self.faults.down else json_response(self.store.show(key))
+            await _wait_for_event(self.store.changed, remaining_s)
+        return (
+            UNAVAILABLE
+            if self.faults.down
+            else json_response(self.store.entry_json(key))
+        )
 
     async def _cas(self, request):
         call = request.json()
@@ -208,7 +216,7 @@
             return json_response({"error": "value too large"}, 413)
         lease_id = call.get("lease")
         swapped = self.store.compare_and_swap(key, value, call["version"], lease_id)
-        return json_response({"swapped": swapped, "entry": self.store.show(key)})
+        return json_response({"swapped": swapped, "entry": self.store.entry_json(key)})
 
     async def _grant(self, request):
         ttl_s = float(request.json()["ttl_s"])
@@ -223,7 +231,7 @@
         return Response(204)
 
 
-async def _wait(event, timeout_s):
+async def _wait_for_event(event, timeout_s):
     try:
         await asyncio.wait_for(event.wait(), timeout_s)
     except TimeoutError:
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for stand-ins of the users' platform."""
+"""A small asyncio HTTP/1.1 server for stand-ins of the users' platform."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 @dataclass
 class Call:
-    """A request to a stand-in."""
+    """A received request; header names are in lower case."""
 
     method: str
     path: str
@@ -17,7 +17,7 @@
 
 
 async def read_call(reader: asyncio.StreamReader) -> Call | None:
-    """Return the next request of a connection, or None at its end."""
+    """Return the next request of a connection, or None if it was closed."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -34,8 +34,8 @@
     return Call(method, parts.path, dict(parse_qsl(parts.query)), headers, body)
 
 
-def answer_bytes(status: int, headers: dict[str, str], body: bytes) -> bytes:
-    """Return a whole response of a stated length."""
+def response_bytes(status: int, headers: dict[str, str], body: bytes) -> bytes:
+    """Return an encoded response with its Content-Length."""
     lines = [f"HTTP/1.1 {status} Status"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     lines += [f"Content-Length: {len(body)}", "", ""]
@@ -43,7 +43,7 @@
 
 
 class StandInServer:
-    """Listens on loopback and hands each connection to `serve`."""
+    """Base of servers on loopback; `serve` handles each connection."""
 
     def __init__(self):
         self.server: asyncio.Server | None = None
@@ -52,7 +52,7 @@
         self.address = ""
 
     async def start(self) -> "StandInServer":
-        """Open the server on a free port, or again on the one it had."""
+        """Listen on a free port, or on the previous port after a stop."""
         port = int(self.address.rpartition(":")[2]) if self.address else 0
         self.server = await asyncio.start_server(self._connected, "127.0.0.1", port)
         host, port = self.server.sockets[0].getsockname()[:2]
@@ -69,8 +69,8 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def serve(self, reader, writer) -> None:
-        """Answer the calls of one connection."""
-        raise AssertionError("a stand-in defines what it serves")
+        """Handle the calls of one connection."""
+        raise AssertionError("a subclass must override serve()")
 
     def _connected(self, reader, writer):
         task = asyncio.get_running_loop().create_task(self._serve(reader, writer))
@@ -82,7 +82,7 @@
         try:
             await self.serve(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            # The peer is gone; the stand-in waits for its next connection.
+            # The client closed the connection; others are still served.
             return
         finally:
             self.writers.discard(writer)
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's metadata store, written from its page.
+"""Stand-in for the platform's metadata store, after its documented interface.
 
-It has the faults that the store may have: it refuses, falls silent, loses the
-answers of writes, forgets its history, and lets leases lapse.
+It simulates the faults that the real store may have: it rejects calls, goes
+silent, loses responses to writes, compacts its history and expires leases.
 """
 
 import asyncio
@@ -10,20 +10,24 @@
 import json
 from dataclasses import dataclass
 
-from standins.platform_http import StandInServer, answer_bytes, read_call
+from standins.platform_http import StandInServer, read_call, response_bytes
 
 
 @dataclass
 class StoreFaults:
-    """What goes wrong at the moment."""
+    """The faults in effect.
+
+    `lose_write_responses` is the number of writes that take effect but get no
+    response.
+    """
 
     refuse: bool = False
     silent: bool = False
-    lose_writes: int = 0
+    lose_write_responses: int = 0
 
 
 class PlatformStore(StandInServer):
-    """Keys with revisions, leases, transactions and watches."""
+    """A store of keys with revisions, leases, transactions and watches."""
 
     def __init__(self):
         super().__init__()
@@ -37,44 +41,46 @@
         self.changed = asyncio.Condition()
         self.calls: list[str] = []
 
-    # What operators and backend servers do.
+    # Changes that operators and backend servers make.
 
     async def put(self, key: str, document: object, lease: int = 0) -> None:
-        """Write a JSON document."""
+        """Write a document as JSON, or bytes unchanged."""
         data = document if isinstance(document, bytes) else json.dumps(document)
         await self.put_bytes(
             key, data.encode() if isinstance(data, str) else data, lease
         )
 
     async def put_bytes(self, key: str, value: bytes, lease: int = 0) -> None:
-        """Write any bytes."""
+        """Write bytes as the value of a key."""
         async with self.changed:
-            self._put(key, base64.b64encode(value).decode(), lease, self._next())
+            self._put(
+                key, base64.b64encode(value).decode(), lease, self._next_revision()
+            )
             self.changed.notify_all()
 
     async def remove(self, key: str) -> None:
         """Remove a key."""
         async with self.changed:
-            self._remove(key, self._next())
+            self._remove(key, self._next_revision())
             self.changed.notify_all()
 
-    async def forget_history(self) -> None:
-        """Drop the history of changes; watches from before get 410."""
+    async def compact_history(self) -> None:
+        """Discard the history of changes; watches of an older revision get 410."""
         async with self.changed:
             self.history.clear()
             self.compacted = self.revision
             self.changed.notify_all()
 
-    async def lapse(self, lease: int) -> None:
-        """End a lease."""
+    async def expire_lease(self, lease: int) -> None:
+        """Expire a lease, which removes its keys."""
         async with self.changed:
             self._end_lease(lease)
             self.changed.notify_all()
 
-    # What instances call.
+    # Calls of instances over HTTP.
 
     async def serve(self, reader, writer):
-        """Answer calls until the connection ends."""
+        """Handle calls until the connection is closed."""
         while (call := await read_call(reader)) is not None:
             self.calls.append(f"{call.method} {call.path}")
             if self.faults.silent:
@@ -82,15 +88,15 @@
             if self.faults.refuse:
                 status, document = 503, {}
             else:
-                status, document = await self._answer(call)
-            if call.path == "/kv-txn" and self.faults.lose_writes:
-                self.faults.lose_writes -= 1
+                status, document = await self._handle(call)
+            if call.path == "/kv-txn" and self.faults.lose_write_responses:
+                self.faults.lose_write_responses -= 1
                 await asyncio.sleep(3600)
-            writer.write(answer_bytes(status, {}, json.dumps(document).encode()))
+            writer.write(response_bytes(status, {}, json.dumps(document).encode()))
             await writer.drain()
 
-    async def _answer(self, call):
-        self._lapse_due()
+    async def _handle(self, call):
+        self._expire_due_leases()
         name = call.path.lstrip("/").partition("/")
         body = json.loads(call.body) if call.body else {}
         match call.method, name[0]:
@@ -104,12 +110,12 @@
                 lease = next(self.next_lease)
                 ttl_s = body["TtlMs"] / 1000
                 self.leases[lease] = ttl_s
-                self._renew(lease, ttl_s)
+                self._extend_lease(lease, ttl_s)
                 return 200, {"Lease": lease, "TtlMs": body["TtlMs"]}
             case "POST", "kv-keep":
-                return self._keep(int(name[2]))
+                return self._keep_alive(int(name[2]))
             case "DELETE", "kv-lease-end":
-                await self.lapse(int(name[2]))
+                await self.expire_lease(int(name[2]))
                 return 200, {}
         return 404, {}
 
@@ -128,7 +134,7 @@
         if after < self.compacted:
             return 410, {}
 
-        def found():
+        def matching_events():
             return [
                 event
                 for event in self.history
@@ -139,19 +145,19 @@
             try:
                 async with asyncio.timeout(int(query["WaitMs"]) / 1000):
                     await self.changed.wait_for(
-                        lambda: found() or after < self.compacted
+                        lambda: matching_events() or after < self.compacted
                     )
             except TimeoutError:
                 return 200, {"Events": [], "StoreRevision": self.revision}
             if after < self.compacted:
                 return 410, {}
-            return 200, {"Events": found(), "StoreRevision": self.revision}
+            return 200, {"Events": matching_events(), "StoreRevision": self.revision}
 
     async def _transact(self, body):
         async with self.changed:
-            for row in body["Expected"]:
-                item = self.items.get(row["Key"])
-                if (item["Revision"] if item else 0) != row["Revision"]:
+            for expected in body["Expected"]:
+                item = self.items.get(expected["Key"])
+                if (item["Revision"] if item else 0) != expected["Revision"]:
                     keys = [r["Key"] for r in body["Expected"]]
                     return 412, {
                         "items": [self.items[k] for k in keys if k in self.items]
@@ -159,7 +165,7 @@
             for put in body["Puts"]:
                 if put.get("Lease") and put["Lease"] not in self.leases:
                     return 404, {}
-            revision = self._next()
+            revision = self._next_revision()
             for put in body["Puts"]:
                 self._put(put["Key"], put["Value"], put.get("Lease", 0), revision)
             for key in body["Remove"]:
@@ -167,16 +173,16 @@
             self.changed.notify_all()
         return 200, {"Revision": revision}
 
-    def _keep(self, lease):
+    def _keep_alive(self, lease):
         if lease not in self.leases:
             return 404, {}
-        self._renew(lease, 10.0)
+        self._extend_lease(lease, 10.0)
         return 200, {"TtlMs": 10_000}
 
-    def _renew(self, lease, ttl_s):
+    def _extend_lease(self, lease, ttl_s):
         self.leases[lease] = asyncio.get_running_loop().time() + ttl_s
 
-    def _lapse_due(self):
+    def _expire_due_leases(self):
         now = asyncio.get_running_loop().time()
         for lease in [lease for lease, until in self.leases.items() if until < now]:
             self._end_lease(lease)
@@ -185,9 +191,9 @@
         self.leases.pop(lease, None)
         for key in [k for k, item in self.items.items() if item["Lease"] == lease]:
             if lease:
-                self._remove(key, self._next())
+                self._remove(key, self._next_revision())
 
-    def _next(self):
+    def _next_revision(self):
         self.revision += 1
         return self.revision
 
--- a/standins/platform_worker.py
+++ b/standins/platform_worker.py
@@ -1,38 +1,38 @@
-"""A stand-in of the platform's workers, written from its page.
+"""Stand-in for the platform's workers, after their documented interface.
 
-It runs requests at once, records what it was sent, and misbehaves as told:
-each entry of `behaviours` is used by one request, in order.
+It executes requests immediately and records what it received. It misbehaves on
+demand: each request takes the next entry of `behaviours`.
 """
 
 import asyncio
 import enum
 import json
 
-from standins.platform_http import Call, StandInServer, answer_bytes, read_call
+from standins.platform_http import Call, StandInServer, read_call, response_bytes
 
 
 class Behaviour(enum.Enum):
-    """What a worker does with one request."""
+    """How a worker handles one request."""
 
     SERVE = "serve"
-    SHED = "shed"
+    REJECT = "503 with the header that it was not executed"
     FAIL = "fail"
-    PLAIN_503 = "503 without word that it has not run"
-    RESET = "reset before an answer"
-    HANG = "no answer"
-    SLOW = "an answer once it is released"
-    SHORT = "a body that breaks off"
-    BREAK_IN_EVENT = "a stream that breaks off within its second event"
-    EXTRA = "a second answer after the first"
-    CROSSED_FIRST = "an answer to another request before its own"
-    UNSIGNED = "a success without signature"
-    UNFRAMED = "a body that ends with its connection"
-    CLOSE_AFTER = "an answer, then the end of the connection without a word"
-    GARBAGE = "bytes that are no answer"
+    PLAIN_503 = "503 without the header that it was not executed"
+    RESET = "connection reset before a response"
+    HANG = "no response"
+    SLOW = "a response once released"
+    TRUNCATE = "connection reset within the body"
+    BREAK_IN_EVENT = "connection reset within the second event of a stream"
+    EXTRA_RESPONSE = "a second response after the first"
+    OTHER_RESPONSE_FIRST = "a response to another attempt before its own"
+    UNSIGNED = "a success without the response seal"
+    UNFRAMED = "a body without a length, ended by closing the connection"
+    CLOSE_AFTER = "a response, then a close without announcing it"
+    GARBAGE = "bytes that are not HTTP"
 
 
 class PlatformWorker(StandInServer):
-    """One worker of a service; `events` is the length of its streams."""
+    """One worker of a service; its streams have `events` events."""
 
     def __init__(self, server_id: str, service: str, zone: str = "a", events: int = 3):
         super().__init__()
@@ -52,7 +52,7 @@
         self.released = asyncio.Event()
 
     def entry(self) -> dict:
-        """Return what the worker says of itself in the store."""
+        """Return the entry with which the worker registers in the store."""
         return {
             "Service": self.service,
             "Address": self.address,
@@ -66,17 +66,17 @@
         }
 
     async def serve(self, reader, writer):
-        """Answer calls until the connection ends."""
+        """Handle calls until the connection is closed."""
         while (call := await read_call(reader)) is not None:
             if call.path in ("/report", "/order"):
-                status, document = self._control(call)
-                writer.write(answer_bytes(status, {}, json.dumps(document).encode()))
+                status, document = self._handle_control(call)
+                writer.write(response_bytes(status, {}, json.dumps(document).encode()))
                 continue
             self.calls.append(call)
-            if not await self._request(call, reader, writer):
+            if not await self._handle_request(call, reader, writer):
                 return
 
-    def _control(self, call):
+    def _handle_control(self, call):
         if call.headers.get("x-expect-instance") != self.server_id:
             return 421, {}
         if call.path == "/report":
@@ -98,19 +98,19 @@
             for name, version in self.versions.items()
         ]
 
-    async def _request(self, call, reader, writer):
-        """Answer one request; return whether the connection goes on."""
+    async def _handle_request(self, call, reader, writer):
+        """Handle one request and return whether the connection stays open."""
         if not self._is_expected(call):
-            own = {"X-Instance-Id": self.server_id, "X-Not-Executed": "1"}
-            writer.write(answer_bytes(421, own, b""))
+            own_headers = {"X-Instance-Id": self.server_id, "X-Not-Executed": "1"}
+            writer.write(response_bytes(421, own_headers, b""))
             return True
         behaviour = self.behaviours.pop(0) if self.behaviours else Behaviour.SERVE
-        if behaviour is Behaviour.SHED:
-            writer.write(answer_bytes(503, {"X-Not-Executed": "1"}, b""))
+        if behaviour is Behaviour.REJECT:
+            writer.write(response_bytes(503, {"X-Not-Executed": "1"}, b""))
             return True
         attempt = call.headers["x-attempt-id"]
         self.ran.append(attempt)
-        return await self._run(behaviour, call, attempt, reader, writer)
+        return await self._execute(behaviour, call, attempt, reader, writer)
 
     def _is_expected(self, call):
         if call.headers.get("x-expect-instance", self.server_id) != self.server_id:
@@ -119,14 +119,17 @@
         model = call.headers.get("x-model")
         return version is None or int(version) == self.versions.get(model)
 
-    async def _run(self, behaviour, call, attempt, reader, writer):
-        own = {"X-Attempt-Id": attempt, "X-Response-Seal": f"seal-{self.server_id}"}
+    async def _execute(self, behaviour, call, attempt, reader, writer):
+        own_headers = {
+            "X-Attempt-Id": attempt,
+            "X-Response-Seal": f"seal-{self.server_id}",
+        }
         match behaviour:
             case Behaviour.FAIL:
-                writer.write(answer_bytes(500, own, b"failed"))
+                writer.write(response_bytes(500, own_headers, b"failed"))
                 return True
             case Behaviour.PLAIN_503:
-                writer.write(answer_bytes(503, own, b""))
+                writer.write(response_bytes(503, own_headers, b""))
                 return True
             case Behaviour.RESET:
                 writer.transport.abort()
@@ -141,38 +144,42 @@
             case Behaviour.SLOW:
                 await self.released.wait()
             case Behaviour.UNSIGNED:
-                writer.write(answer_bytes(200, {"X-Attempt-Id": attempt}, b"unsigned"))
+                writer.write(
+                    response_bytes(200, {"X-Attempt-Id": attempt}, b"unsigned")
+                )
                 return True
-            case Behaviour.CROSSED_FIRST:
-                other = {"X-Attempt-Id": "other", "X-Response-Seal": "other"}
-                writer.write(answer_bytes(200, other, b"for somebody else"))
+            case Behaviour.OTHER_RESPONSE_FIRST:
+                other_headers = {"X-Attempt-Id": "other", "X-Response-Seal": "other"}
+                writer.write(response_bytes(200, other_headers, b"for somebody else"))
         if call.headers.get("x-model"):
-            return await self._stream(behaviour, call, own, writer)
-        return await self._plain(behaviour, attempt, own, writer)
+            return await self._send_stream(behaviour, call, own_headers, writer)
+        return await self._send_plain(behaviour, attempt, own_headers, writer)
 
-    async def _plain(self, behaviour, attempt, own, writer):
+    async def _send_plain(self, behaviour, attempt, own_headers, writer):
         body = f"answer to {attempt}".encode()
-        if behaviour is Behaviour.SHORT:
-            writer.write(answer_bytes(200, own, body)[:-4])
+        if behaviour is Behaviour.TRUNCATE:
+            writer.write(response_bytes(200, own_headers, body)[:-4])
             await writer.drain()
             writer.transport.abort()
             return False
         if behaviour is Behaviour.UNFRAMED:
-            head = "".join(f"{name}: {value}\r\n" for name, value in own.items())
+            head = "".join(
+                f"{name}: {value}\r\n" for name, value in own_headers.items()
+            )
             writer.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body)
             return False
-        writer.write(answer_bytes(200, own, body))
-        if behaviour is Behaviour.EXTRA:
-            writer.write(answer_bytes(200, own, b"once more"))
+        writer.write(response_bytes(200, own_headers, body))
+        if behaviour is Behaviour.EXTRA_RESPONSE:
+            writer.write(response_bytes(200, own_headers, b"once more"))
         await writer.drain()
         if behaviour is Behaviour.CLOSE_AFTER:
-            # Long enough for a next request to be on its way.
+            # Wait long enough for the next request to be in flight.
             await asyncio.sleep(self.close_after_s)
             return False
         return True
 
-    async def _stream(self, behaviour, call, own, writer):
-        lines = [f"{name}: {value}" for name, value in own.items()]
+    async def _send_stream(self, behaviour, call, own_headers, writer):
+        lines = [f"{name}: {value}" for name, value in own_headers.items()]
         lines += ["Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         writer.write(("HTTP/1.1 200 OK\r\n" + "\r\n".join(lines) + "\r\n\r\n").encode())
         first = int(call.headers.get("last-event-id", 0)) + 1
@@ -185,7 +192,7 @@
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
             if behaviour is Behaviour.BREAK_IN_EVENT and number == 2:
-                # Let the part of the event arrive before the reset.
+                # Let the first part of the event arrive before the reset.
                 await asyncio.sleep(0.05)
                 writer.transport.abort()
                 return False
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starting stand-ins and instances as child processes and ending them all."""
+"""Child processes: starting stand-ins and instances, and ending all of them."""
 
 import os
 import pathlib
@@ -17,14 +17,14 @@
 
 
 def free_address() -> str:
-    """Return a loopback address with a port that nothing listens on."""
+    """Return a loopback address with a port that is free now."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 class ProcessGroup:
-    """Child processes by name; leaving the context ends every one of them.
+    """A group of named child processes; leaving the context ends all of them.
 
     Examples
     --------
@@ -46,7 +46,7 @@
         self.end_all()
 
     def start_stand_in(self, module: str, *options: str, name: str = "") -> str:
-        """Run ``python -m standins.MODULE`` and return its address once open."""
+        """Start ``python -m standins.MODULE`` and return its address once open."""
         address = self.launch_stand_in(module, *options, name=name)
         self.wait_until_open(name or module, address)
         return address
@@ -60,7 +60,7 @@
         return address
 
     def start(self, name: str, command: list[str]) -> subprocess.Popen:
-        """Start a process; its output goes to a file named after it."""
+        """Start a process; its output is appended to ``NAME.log`` or discarded."""
         output = subprocess.DEVNULL
         if self.log_directory:
             output = open(self.log_directory / f"{name}.log", "ab")  # noqa: SIM115
@@ -80,14 +80,14 @@
     def wait_until_open(self, name: str, address: str) -> None:
         """Wait until a process accepts connections."""
         host, port = address.split(":")
-        self.wait_for(name, lambda: _accepts(host, int(port)))
+        self.wait_for(name, lambda: _accepts_connections(host, int(port)))
 
     def wait_until_ready(self, name: str, address: str) -> None:
-        """Wait until ``GET /readyz`` answers 200."""
+        """Wait until ``GET /readyz`` returns 200."""
         self.wait_for(name, lambda: self.is_ready(address))
 
     def is_ready(self, address: str) -> bool:
-        """Return whether ``GET /readyz`` answers 200."""
+        """Return whether ``GET /readyz`` returns 200."""
         try:
             url = f"http://{address}/readyz"
             return self.http.request("GET", url, timeout=1.0).status == 200
@@ -95,57 +95,57 @@
             return False
 
     def wait_for(self, name: str, condition) -> None:
-        """Wait until a condition holds; fail if the process ends before."""
-        end = time.monotonic() + START_TIMEOUT_S
+        """Wait until a condition holds; raise if the process ends before."""
+        deadline = time.monotonic() + START_TIMEOUT_S
         while not condition():
             status = self.processes[name].poll()
             if status is not None:
                 raise RuntimeError(f"{name} ended with status {status}")
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise TimeoutError(f"{name} was not ready in {START_TIMEOUT_S} s")
             time.sleep(POLL_INTERVAL_S)
 
     def running(self) -> list[str]:
-        """Return the names of the processes that have not ended."""
+        """Return the names of the running processes."""
         return [name for name, p in self.processes.items() if p.poll() is None]
 
     def control(self, name: str, target: str, body: object = None):
-        """Send a control call to a stand-in and return the decoded answer."""
+        """Send a control call to a stand-in and return the decoded response."""
         method = "GET" if body is None else "POST"
         url = f"http://{self.addresses[name]}{target}"
         return self.http.request(method, url, json=body, timeout=5.0).json()
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process with SIGKILL."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def pause(self, name: str) -> None:
-        """Stop a process where it stands."""
+        """Suspend a process with SIGSTOP."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def terminate(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Ask a process to end and return its exit status."""
+        """Terminate a process with SIGTERM and return its exit status."""
         self.processes[name].terminate()
         return self.processes[name].wait(timeout_s)
 
     def end_all(self) -> None:
-        """End every process, by force where asking does not help."""
+        """Terminate every process; kill those that do not end in time."""
         running = [p for p in self.processes.values() if p.poll() is None]
         for process in running:
             process.terminate()
             process.send_signal(signal.SIGCONT)
-        end = time.monotonic() + STOP_TIMEOUT_S
+        deadline = time.monotonic() + STOP_TIMEOUT_S
         for process in running:
-            _reap(process, max(0.0, end - time.monotonic()))
+            _reap(process, max(0.0, deadline - time.monotonic()))
         self.http.clear()
 
 
-def _accepts(host, port):
+def _accepts_connections(host, port):
     try:
         socket.create_connection((host, port), 1.0).close()
     except OSError:
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,9 +1,9 @@
 """Stand-in for a plain service: bookings, which may not be repeated, and lookups.
 
-``POST /control/faults`` sets any of: `delay_s` (before the answer), `refuse`
-(so many calls are refused without being started), `lose_answers` (so many
-calls run and their connection is closed without an answer).
-``GET /control/runs`` and ``/control/refusals`` list what ran and what did not.
+``POST /control/faults`` sets any of: `delay_s` (a delay before each response),
+`refuse` (the number of calls to reject without starting them), `lose_answers`
+(the number of calls that run but whose connection is closed without a response).
+``GET /control/runs`` and ``/control/refusals`` list started and rejected calls.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class ServiceStandIn:
-    """Counts what it runs; it does not look for doubles, so they can be seen."""
+    """Runs and records every call, so that a test can detect duplicates."""
 
     def __init__(self, records: RunRecords, faults: _Faults):
         self.records = records
@@ -39,18 +39,18 @@
         self.bookings = 0
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one call."""
+        """Handle one API call."""
         if request.path == "/control/runs":
-            return json_response(self.records.show(started=True))
+            return json_response(self.records.to_json(started=True))
         if request.path == "/control/refusals":
-            return json_response(self.records.show(started=False))
+            return json_response(self.records.to_json(started=False))
         if request.path == "/control/faults":
             return set_faults(self.faults, request.json())
         call = self._find(request)
         if call is None:
             return json_response({"error": "unknown call"}, 404)
         if self.faults.refuse > 0:
-            return self._refuse(request)
+            return self._reject(request)
         return await self._run(call, request)
 
     def _find(self, request):
@@ -70,7 +70,7 @@
             return None
         return response
 
-    def _refuse(self, request):
+    def _reject(self, request):
         self.faults.refuse -= 1
         self.records.add(request, started=False)
         return json_response({"error": "busy"}, 503, NOT_STARTED)
@@ -88,7 +88,7 @@
     """Run the stand-in."""
     parser = address_parser(__doc__)
     parser.add_argument("--delay-s", type=float, default=0.0)
-    parser.add_argument("--record-file", help="file that run records are appended to")
+    parser.add_argument("--record-file", help="file to append run records to")
     arguments = parser.parse_args()
     records = RunRecords(arguments.record_file)
     stand_in = ServiceStandIn(records, _Faults(delay_s=arguments.delay_s))
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -1,7 +1,7 @@
 """Stand-in for the rate-limited weight store.
 
-A load takes `--load-s` seconds while at most `--at-once` run; when more do,
-they share the same rate and all take longer.
+A load takes `--load-s` seconds while at most `--at-once` loads run. If more
+run, they share the same total rate and all take longer.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
     run_server,
 )
 
-STEP_S = 0.01
+UPDATE_INTERVAL_S = 0.01
 
 
 @dataclass
@@ -27,15 +27,15 @@
 
 
 class WeightStoreStandIn:
-    """Serves weights as slowly as its limit asks for."""
+    """Responds to each load after the time that the rate limit implies."""
 
-    def __init__(self, load_s: float, at_once: int):
+    def __init__(self, load_s: float, max_concurrent: int):
         self.load_s = load_s
-        self.at_once = at_once
+        self.max_concurrent = max_concurrent
         self.counts = _Counts()
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one call."""
+        """Handle one API call."""
         if request.path == "/control/counts":
             return json_response(asdict(self.counts))
         if not request.path.startswith("/v1/weights/"):
@@ -51,11 +51,13 @@
 
     async def _transfer(self):
         loop = asyncio.get_running_loop()
-        rest, last = self.load_s, loop.time()
-        while rest > 0:
-            await asyncio.sleep(STEP_S)
+        remaining_s, last = self.load_s, loop.time()
+        while remaining_s > 0:
+            await asyncio.sleep(UPDATE_INTERVAL_S)
             now = loop.time()
-            rest -= (now - last) * min(1.0, self.at_once / self.counts.active)
+            remaining_s -= (now - last) * min(
+                1.0, self.max_concurrent / self.counts.active
+            )
             last = now
 
 
--- a/tests/process_case.py
+++ b/tests/process_case.py
@@ -19,7 +19,7 @@
     Route,
     issue_key,
 )
-from standins.answers import expected_answer
+from standins.answers import expected_completion
 from standins.cluster import Cluster, Layout
 
 HANG_BOUND_S = 60.0
@@ -191,4 +191,4 @@
 
 
 def expected_text(question, tokens=STREAM_TOKENS):
-    return expected_answer(chat_request(question, tokens))
+    return expected_completion(chat_request(question, tokens))
--- a/tests/test_demo_checks.py
+++ b/tests/test_demo_checks.py
@@ -39,12 +39,12 @@
         result(CallKind.CHECK, Attempt(ENTRY, True)),
         result(CallKind.LOOKUP, Attempt(ENTRY, True)),
         result(CallKind.BOOKING, Attempt(ENTRY, True), idempotency_key="b1"),
-        result(CallKind.MARKING, Attempt(KILLED, cut=True), Attempt(ENTRY, True)),
+        result(CallKind.MARKING, Attempt(KILLED, truncated=True), Attempt(ENTRY, True)),
         result(CallKind.CHECK, Attempt(ENTRY, verdict="not_run", request_id="refused")),
     ),
     records=(record("r1"), record("r2", key="b1"), record("refused", started=False)),
     keys=(KEY,),
-    killed=KILLED,
+    killed_address=KILLED,
     stop_statuses=(0, 0),
 )
 
@@ -70,7 +70,9 @@
         self.assert_broken(self.with_result(wrong), name)
 
     def test_stream_cut_by_a_live_instance(self):
-        cut = result(CallKind.MARKING, Attempt(ENTRY, cut=True), Attempt(ENTRY, True))
+        cut = result(
+            CallKind.MARKING, Attempt(ENTRY, truncated=True), Attempt(ENTRY, True)
+        )
         name = "only the killed instance cut streams"
         self.assert_broken(self.with_result(cut), name)
 
@@ -127,14 +129,14 @@
     def test_stream_without_its_end_is_cut(self):
         chunk = {"choices": [{"index": 0, "delta": {"content": "a"}}]}
         event = f"data: {json.dumps(chunk)}\n\n".encode()
-        self.assertTrue(self.attempt_with(event).cut)
-        self.assertTrue(self.attempt_with(event, b"").cut)
+        self.assertTrue(self.attempt_with(event).truncated)
+        self.assertTrue(self.attempt_with(event, b"").truncated)
 
     def test_stream_that_ends_with_an_error_event_is_not_cut(self):
         error = {"message": "x", "verdict": "may_have_run", "code": "c"}
         event = f"data: {json.dumps({'error': error})}\n\n".encode()
         attempt = self.attempt_with(event)
-        self.assertFalse(attempt.cut)
+        self.assertFalse(attempt.truncated)
         self.assertEqual(attempt.verdict, "may_have_run")
 
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -22,7 +22,7 @@
     create_poller,
 )
 from cassiaford.timeline import HybridClock, Journal
-from standins.answers import expected_answer
+from standins.answers import expected_completion
 from standins.processes import ProcessGroup, free_address
 
 WAIT_S = 10.0
@@ -76,7 +76,7 @@
         self.start()
         streamed = self.post(completion(stream=True)).read()
         plain = json.loads(self.post(completion()).read())
-        expected = expected_answer(completion())
+        expected = expected_completion(completion())
         self.assertEqual(self.text_of(streamed), expected)
         self.assertTrue(streamed.endswith(b"data: [DONE]\n\n"))
         self.assertEqual(plain["choices"][0]["text"], expected)
@@ -103,7 +103,7 @@
         # Without the header, the response would be taken to start at the beginning.
         self.assertEqual(resumed.getheader("X-Resume-Offset"), "1")
         rest = resumed.read()
-        self.assertEqual(self.text_of(received + rest), expected_answer(body))
+        self.assertEqual(self.text_of(received + rest), expected_completion(body))
         self.assertEqual(len(self.group.control("engine", "/control/runs")), 1)
         unknown = self.post(body, X_Request_Id="r2", X_Resume_Offset="1")
         self.assertEqual(unknown.status, 404)
@@ -146,7 +146,7 @@
             self.group.control("engine", "/control/silence", {})["silenced"], 0
         )
         rest = self.post(body, X_Request_Id="r1", X_Resume_Offset="1").read()
-        self.assertEqual(self.text_of(received + rest), expected_answer(body))
+        self.assertEqual(self.text_of(received + rest), expected_completion(body))
 
     def test_marked_prompt_crashes_the_process(self):
         self.start("--crash-marker", "POISON")
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -59,7 +59,7 @@
 
     async def test_a_lost_history_leads_to_a_full_read(self):
         gateway = await self.start_gateway()
-        await self.store.forget_history()
+        await self.store.compact_history()
         await self.store.put("op/config", configuration(9))
         await self.wait_until(lambda: gateway.view.configuration.version == 9)
 
@@ -67,7 +67,7 @@
         gateway = await self.start_gateway()
         self.store.faults.refuse = True
         await self.store.remove("servers/i-0")
-        await self.store.forget_history()
+        await self.store.compact_history()
         await self.wait_until(lambda: gateway.sync.failing)
         self.store.faults.refuse = False
         await self.wait_until(lambda: gateway.sync.reachable)
@@ -77,7 +77,7 @@
         self.assertEqual((await self.call(gateway, "/book/1")).status, 200)
 
     async def test_a_lost_response_to_a_write_leaves_the_instance_registered(self):
-        self.store.faults.lose_writes = 1
+        self.store.faults.lose_write_responses = 1
         gateway = await self.start_gateway()
         await self.wait_until(lambda: gateway.registration.registered)
         self.assertIn("cassiaford/instances/entry-1", self.store.items)
@@ -85,7 +85,7 @@
     async def test_an_entry_that_was_removed_is_written_again(self):
         gateway = await self.start_gateway()
         await self.wait_until(lambda: gateway.registration.registered)
-        await self.store.lapse(gateway.registration.lease)
+        await self.store.expire_lease(gateway.registration.lease)
         await self.wait_until(
             lambda: "cassiaford/instances/entry-1" in self.store.items
         )
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -54,7 +54,7 @@
         await self.check_not_retried(Behaviour.GARBAGE)
 
     async def test_an_unsafe_request_is_not_retried_after_a_truncated_response(self):
-        await self.check_not_retried(Behaviour.SHORT)
+        await self.check_not_retried(Behaviour.TRUNCATE)
 
     async def check_not_retried(self, behaviour):
         gateway = await self.start("desk", "desk")
@@ -74,7 +74,7 @@
     async def test_an_unsafe_request_that_all_servers_reject_has_not_run(self):
         gateway = await self.start("desk", "desk")
         for worker in self.workers.values():
-            worker.behaviours = [Behaviour.SHED]
+            worker.behaviours = [Behaviour.REJECT]
         first = await self.call(gateway, "/book/1")
         # Both servers rejected it, so it has not run, and the caller may retry.
         self.assertEqual(first.status, 503)
@@ -88,7 +88,7 @@
         await self.check_retried(Behaviour.RESET)
 
     async def test_a_safe_request_is_retried_after_a_truncated_response(self):
-        await self.check_retried(Behaviour.SHORT)
+        await self.check_retried(Behaviour.TRUNCATE)
 
     async def check_retried(self, behaviour):
         gateway = await self.start("desk", "desk", "desk")
@@ -109,10 +109,10 @@
         self.assertEqual((await self.call(gateway, "/book/1")).status, 502)
 
     async def test_a_surplus_response_reaches_no_caller(self):
-        await self.check_matching_responses(Behaviour.EXTRA)
+        await self.check_matching_responses(Behaviour.EXTRA_RESPONSE)
 
     async def test_a_mismatched_response_reaches_no_caller(self):
-        await self.check_matching_responses(Behaviour.CROSSED_FIRST)
+        await self.check_matching_responses(Behaviour.OTHER_RESPONSE_FIRST)
 
     async def check_matching_responses(self, behaviour):
         gateway = await self.start("desk")
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -71,7 +71,7 @@
 
 class WeightStoreTest(unittest.IsolatedAsyncioTestCase):
     async def test_loads_over_the_limit_share_its_rate(self):
-        store = WeightStoreStandIn(load_s=0.1, at_once=1)
+        store = WeightStoreStandIn(load_s=0.1, max_concurrent=1)
         request = Request("GET", "/v1/weights/m/v1", {}, {}, b"", None)
         loop = asyncio.get_running_loop()
         started_at = loop.time()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -7,7 +7,7 @@
 
 from standins._demo_calls import Attempt, ModelCaller, ServiceCaller, perform
 from standins._demo_sheet import CUSTOMER, MODEL, academy_sheet
-from standins.answers import expected_answer
+from standins.answers import expected_completion
 from standins.cluster import KEY_VALUE, Cluster, Layout
 
 WAIT_S = 30.0
@@ -96,7 +96,7 @@
         for thread in threads:
             thread.join(WAIT_S)
         texts = [attempts[index].text for index in range(6)]
-        self.assertEqual(texts, [expected_answer(body) for body in bodies])
+        self.assertEqual(texts, [expected_completion(body) for body in bodies])
 
     def test_booking_whose_answer_is_lost_never_runs_again(self):
         self.faults("service-1", lose_answers=1)
