--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: benchmarks, capacity slopes, and the build of the binary."""
+"""Benchmarks, capacity measurements and the build of the binary."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,6 @@
 """Runs every measurement with one seed: ``python -m bench --seed 1``.
 
-One that is listed and cannot be imported is an error, like one that fails.
+A measurement that cannot be imported counts as failed, like one that raises.
 """
 
 import importlib
@@ -22,7 +22,7 @@
 
 
 def run_all(seed: int = 1) -> None:
-    """Run each measurement; say at the end which of them failed."""
+    """Run each measurement and print at the end which of them failed."""
     failed = [name for name in MEASUREMENTS if not _succeeds(name, seed)]
     for name in failed:
         print(f"FAILED {name}")
--- a/bench/_stream_gateway.py
+++ b/bench/_stream_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway in a process of its own, before one engine, with a still store."""
+"""A gateway process in front of one engine, with a store that never changes."""
 
 import asyncio
 import json
@@ -20,13 +20,13 @@
 from cassiaford.platform import create_adapter
 from tests.platform_case import configuration, free_port, route
 
-# Room for every stream at once, so that none is refused.
+# Enough slots and connections for all streams at once, so that none is refused.
 ENGINE = {"Slots": 512, "KvCapacityTokens": 10_000_000, "Models": [{"Name": "tare"}]}
 SERVICE = {"Name": "engine", "MaxConnections": 512, "Engine": ENGINE}
 
 
-class StillStore(SharedStore):
-    """Holds one configuration and one engine, and never changes."""
+class StaticStore(SharedStore):
+    """Store of one configuration and one engine that never changes."""
 
     def __init__(self, engine_address: str):
         self.items = {
@@ -55,31 +55,31 @@
         return Page(items, 1)
 
     async def watch(self, prefix, after, wait_s):
-        """Wait; nothing changes."""
+        """Wait and return no changes."""
         await asyncio.sleep(wait_s)
         return Changes((), after)
 
     async def transact(self, conditions, writes):
-        """Take note of nothing."""
+        """Return a commit without storing anything."""
         return Committed(1)
 
     async def remove(self, key, revision):
-        """Take note of nothing."""
+        """Return a commit without removing anything."""
         return Committed(1)
 
     async def grant_lease(self, time_to_live_s):
-        """Return a lease."""
+        """Return the same lease for every call."""
         return 1
 
     async def renew_lease(self, lease):
-        """Take note of nothing."""
+        """Do nothing."""
 
     async def end_lease(self, lease):
-        """Take note of nothing."""
+        """Do nothing."""
 
 
 async def serve(engine_address):
-    """Serve until standard input ends; print the port first."""
+    """Print the port, then serve until standard input ends."""
     ports = [free_port() for _ in range(5)]
     settings = GatewaySettings(
         instance="entry-1",
@@ -93,15 +93,15 @@
         directory_ttl_s=1.0,
     )
     pool = ConnectionPool()
-    world = create_adapter("127.0.0.1:9", pool)
-    world.store = StillStore(engine_address)
-    gateway = Gateway(settings, world)
-    running = asyncio.create_task(gateway.run())
+    adapter = create_adapter("127.0.0.1:9", pool)
+    adapter.store = StaticStore(engine_address)
+    gateway = Gateway(settings, adapter)
+    gateway_task = asyncio.create_task(gateway.run())
     while not gateway.ready:
         await asyncio.sleep(0.01)
     print(ports[0], flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
-    running.cancel()
+    gateway_task.cancel()
     await gateway.close()
 
 
--- a/bench/_stream_load.py
+++ b/bench/_stream_load.py
@@ -1,4 +1,4 @@
-"""Callers that read streams and measure when their tokens come."""
+"""Callers that read streams and measure when their tokens arrive."""
 
 import asyncio
 import itertools
@@ -11,13 +11,13 @@
 from hdrh.histogram import HdrHistogram
 
 PROMPT = "binder " * 300
-# For the gateway; the others pass them by.
+# Only the gateway reads these headers; the engine and the relay ignore them.
 PLATFORM_HEADERS = (
     "Host: a.example\r\nX-Model: tare\r\nX-Token-Count: 300,150\r\n"
     "X-Prompt-Prefix: aa:200,bb:100\r\nConnection: close\r\n"
 )
-NUMBERS = itertools.count()
-SENT = re.compile(rb'"sent_ns": (\d+)')
+REQUEST_NUMBERS = itertools.count()
+SENT_NS = re.compile(rb'"sent_ns": (\d+)')
 MAX_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 
@@ -28,8 +28,8 @@
 
 
 @dataclass
-class Measured:
-    """What the callers of one run saw."""
+class StreamMeasurements:
+    """Measurements by the callers of one run; times in microseconds."""
 
     first_token: HdrHistogram = field(default_factory=histogram)
     delay: HdrHistogram = field(default_factory=histogram)
@@ -39,21 +39,21 @@
 
 
 class StreamCaller(asyncio.Protocol):
-    """Reads one stream."""
+    """Caller that reads one stream."""
 
     def __init__(self, measured, tokens, started_at):
         self.measured = measured
         self.expected = tokens
-        self.seen = 0
+        self.received = 0
         self.tail = b""
         self.started_at = started_at
-        self.over = asyncio.get_running_loop().create_future()
+        self.done = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport):
         """Send the request."""
         document = {"model": "tare", "prompt": PROMPT, "stream": True}
         body = json.dumps({**document, "max_tokens": self.expected}).encode()
-        number = next(NUMBERS)
+        number = next(REQUEST_NUMBERS)
         head = (
             f"POST /v1/completions HTTP/1.1\r\nContent-Length: {len(body)}\r\n"
             f"{PLATFORM_HEADERS}X-Attempt-Id: a{number}\r\n\r\n"
@@ -61,27 +61,27 @@
         transport.write(head.encode() + body)
 
     def data_received(self, data):
-        """Measure the tokens that came."""
+        """Record the times of the tokens received."""
         now = time.monotonic_ns()
-        for match in SENT.finditer(data):
-            if self.seen == 0:
+        for match in SENT_NS.finditer(data):
+            if self.received == 0:
                 self.measured.first_token.record_value((now - self.started_at) // 1000)
-            self.seen += 1
+            self.received += 1
             self.measured.delay.record_value(max(1, (now - int(match[1])) // 1000))
         self.tail = (self.tail + data)[-64:]
 
     def connection_lost(self, exc):
-        """Judge whether the stream was whole."""
-        whole = self.seen == self.expected and self.tail.endswith(b"\r\n0\r\n\r\n")
-        self.measured.tokens += self.seen
+        """Record whether the stream was complete."""
+        whole = self.received == self.expected and self.tail.endswith(b"\r\n0\r\n\r\n")
+        self.measured.tokens += self.received
         self.measured.whole += whole
         self.measured.broken += not whole
-        self.over.set_result(None)
+        self.done.set_result(None)
 
 
 async def run_streams(port, streams, rounds, tokens, ramp_s, seed):
-    """Keep so many streams open, each caller for some rounds; return `Measured`."""
-    measured = Measured()
+    """Run concurrent callers that read `rounds` streams each; return measurements."""
+    measured = StreamMeasurements()
     rng = random.Random(seed)
     loop = asyncio.get_running_loop()
 
@@ -96,7 +96,7 @@
                 "127.0.0.1",
                 port,
             )
-            await protocol.over
+            await protocol.done
 
     await asyncio.gather(*(call(rng.uniform(0, ramp_s)) for _ in range(streams)))
     return measured
--- a/bench/_stream_relay.py
+++ b/bench/_stream_relay.py
@@ -1,4 +1,4 @@
-"""The dispatcher and its relay in a process of their own, behind a listener."""
+"""A process that runs the dispatcher and its relay behind a listening socket."""
 
 import itertools
 import json
@@ -28,15 +28,15 @@
 
 
 class LeastLoad(PlacementPolicy):
-    """Takes the server with the fewest requests in flight."""
+    """Chooses the server with the fewest requests in flight."""
 
     def place(self, request, servers, now, rng):
         """Return the least loaded server."""
         return Placement(min(servers, key=lambda server: server.in_flight).name)
 
 
-def admitted(number, body):
-    """Return a request as the filters before dispatch would pass it on."""
+def admitted_request(number, body):
+    """Return a request in the form in which it reaches the dispatcher."""
     document = json.loads(body)
     scope = cache_scope("academy", "tare", "v1")
     call = ModelCall(MODEL, document, True, 5, 150, scope, ())
@@ -62,16 +62,16 @@
     return body
 
 
-def accept(listener, dispatcher):
-    """Hand every request that comes to the dispatcher."""
+def accept_requests(listener, dispatcher):
+    """Submit every accepted request to the dispatcher."""
     for number in itertools.count():
         sock, _ = listener.accept()
-        request = admitted(number, read_body(sock))
+        request = admitted_request(number, read_body(sock))
         dispatcher.submit(request, sock, lambda *_: None)
 
 
 def main(engine_address):
-    """Serve until standard input ends; print the port first."""
+    """Print the port, then serve until standard input ends."""
     server = BackendServer("engine-1", engine_address, "cluj", models=("tare",))
     configuration = Configuration(revision=1, servers={server.name: server})
     journal = Journal("entry-1", 1, HybridClock(time.time))
@@ -84,7 +84,9 @@
     )
     dispatcher.start()
     listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
-    threading.Thread(target=accept, args=(listener, dispatcher), daemon=True).start()
+    threading.Thread(
+        target=accept_requests, args=(listener, dispatcher), daemon=True
+    ).start()
     print(listener.getsockname()[1], flush=True)
     sys.stdin.read()
     dispatcher.stop(5.0)
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Placement policies to compare with."""
+"""Baseline placement policies for comparison."""
 
 import bisect
 import random
@@ -19,37 +19,41 @@
 
 
 class RandomPlacement(PlacementPolicy):
-    """Takes any usable backend server."""
+    """Chooses a usable backend server at random."""
 
     def place(self, request, servers, now, rng) -> Placement | None:
-        """Return a random choice."""
+        """Return a usable backend server chosen at random."""
         usable = usable_servers(request, servers)
         return Placement(rng.choice(usable).name) if usable else None
 
 
 class RoundRobinPlacement(PlacementPolicy):
-    """Takes one usable backend server after the other."""
+    """Chooses the usable backend servers in turn."""
 
     def __init__(self, rng: random.Random):
-        self.turn = rng.randrange(1000)
+        self.position = rng.randrange(1000)
 
     def place(self, request, servers, now, rng) -> Placement | None:
-        """Return the next one."""
+        """Return the next usable backend server."""
         usable = usable_servers(request, servers)
         if not usable:
             return None
-        self.turn += 1
-        return Placement(usable[self.turn % len(usable)].name)
+        self.position += 1
+        return Placement(usable[self.position % len(usable)].name)
 
 
 class LeastLoadPlacement(PlacementPolicy):
-    """Takes the backend server with the fewest requests, own ones counted anew."""
+    """Chooses the backend server with the fewest requests.
+
+    A server's load is the last reported one, or the number of this instance's own
+    requests in flight there if that is higher.
+    """
 
     def __init__(self):
-        self.reports = {}
+        self.reported_loads = {}
 
     def place(self, request, servers, now, rng) -> Placement | None:
-        """Return the least loaded one, by the last report and the own count."""
+        """Return the usable backend server with the lowest load."""
         usable = usable_servers(request, servers)
         if not usable:
             return None
@@ -57,21 +61,21 @@
         return Placement(best.name)
 
     def observe_load(self, server: str, report: LoadReport, now: float) -> None:
-        """Keep the last report."""
-        self.reports[server] = report.running + report.waiting
+        """Store the load of the latest report."""
+        self.reported_loads[server] = report.running + report.waiting
 
     def _load(self, view: ServerView) -> int:
-        return max(view.in_flight, self.reports.get(view.name, 0))
+        return max(view.in_flight, self.reported_loads.get(view.name, 0))
 
 
 class ConsistentHashPlacement(PlacementPolicy):
-    """Takes the backend server that follows the first block on a hash ring."""
+    """Chooses the server that follows the first prompt block on a hash ring."""
 
     def __init__(self):
         self.ring = []
 
     def place(self, request, servers, now, rng) -> Placement | None:
-        """Return the first usable one on the ring."""
+        """Return the first usable backend server on the ring."""
         usable = {view.name for view in usable_servers(request, servers)}
         if not usable:
             return None
@@ -91,10 +95,10 @@
 
 
 class OraclePlacement(PlacementPolicy):
-    """Knows the true caches and queues of all engines at every moment.
+    """Places requests by the actual caches and queues of all engines.
 
-    It takes the engine with the least work before the first token, with the
-    weight on recomputing that is given to it.
+    It chooses the engine with the least work before the first token. In that sum,
+    the request's own uncached tokens are multiplied by `recompute_weight`.
     """
 
     def __init__(self, fleet: Fleet, recompute_weight: float):
@@ -102,7 +106,7 @@
         self.recompute_weight = recompute_weight
 
     def place(self, request, servers, now, rng) -> Placement | None:
-        """Return the engine with the least true cost."""
+        """Return the engine with the lowest actual cost."""
         engines = self.fleet.engines
         usable = [
             view.name
--- a/bench/build_binary.py
+++ b/bench/build_binary.py
@@ -1,8 +1,8 @@
-"""Builds the one binary, ``dist/cassiaford``, and measures it.
+"""Build and measurement of the single binary, ``dist/cassiaford``.
 
-The binary is a zip file that Python runs (shiv). It holds the installed
-packages that the product needs, in the versions that the tests ran with, so
-building it needs no network.
+The binary is a zip application made by shiv. It contains the installed packages
+that the product needs, in the versions that the tests ran with, so building it
+needs no network.
 """
 
 import os
@@ -24,21 +24,21 @@
 
 TARGET = ROOT / "dist" / "cassiaford"
 INTERPRETER = "/usr/bin/env python3.11"
-# The interpreter itself: in its place a version manager may have put a script
-# that starts processes of its own, and that of a virtual environment would find
-# packages which the binary lacks.
+# The resolved path: a version manager's script in place of the interpreter may start
+# processes of its own, and the interpreter of a virtual environment would find
+# packages that the binary lacks.
 INTERPRETER_DIRECTORY = pathlib.Path(sys.executable).resolve().parent
-# Named by hdrhistogram for its build; nothing imports it at run time.
-NOT_NEEDED = {"setuptools"}
+# hdrhistogram requires it for its build; nothing imports it at run time.
+BUILD_ONLY_PACKAGES = {"setuptools"}
 MEGABYTE = 1024 * 1024
 STOP_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True)
-class RunningBinary:
-    """What was measured of one instance that runs from the binary.
+class BinaryRun:
+    """Measurements of one instance that runs from the binary.
 
-    `children` are all processes that it was seen to have until it was ready.
+    `children` are all child processes seen until the instance was ready.
     """
 
     ready_after_s: float
@@ -55,31 +55,31 @@
         for name in runtime_packages():
             _copy_package(name, staging)
         shutil.copytree(ROOT / "src" / "cassiaford", staging / "cassiaford")
-        _remove_compiled(staging)
+        _remove_bytecode(staging)
         _run_shiv(staging, target)
 
 
 def runtime_packages() -> list[str]:
     """Return the names of all packages that the product needs to run."""
     project = tomllib.loads((ROOT / "pyproject.toml").read_text("utf-8"))["project"]
-    waiting = [Requirement(line) for line in project["dependencies"]]
+    pending = [Requirement(line) for line in project["dependencies"]]
     names = set()
-    while waiting:
-        requirement = waiting.pop()
+    while pending:
+        requirement = pending.pop()
         name = canonicalize_name(requirement.name)
-        if name in names | NOT_NEEDED or not _applies(requirement):
+        if name in names | BUILD_ONLY_PACKAGES or not _applies(requirement):
             continue
         names.add(name)
-        waiting.extend(map(Requirement, metadata.requires(name) or ()))
+        pending.extend(map(Requirement, metadata.requires(name) or ()))
     return sorted(names)
 
 
-def measure(binary: pathlib.Path, root: pathlib.Path) -> RunningBinary:
+def measure(binary: pathlib.Path, root: pathlib.Path) -> BinaryRun:
     """Run one instance from the binary, unpacked under `root`, and measure it."""
     with Cluster(Layout(instances=1, program=(str(binary),))) as cluster:
         cluster.start_platform()
         cluster.apply(cluster.server_changes())
-        # Only what the binary holds may be found, and not the sources.
+        # Hides the sources, so that the instance finds only what the binary contains.
         cluster.group.environment = {
             "PATH": f"{INTERPRETER_DIRECTORY}{os.pathsep}{os.environ['PATH']}",
             "PYTHONPATH": "",
@@ -97,7 +97,7 @@
 
         cluster.group.wait_for(name, is_ready)
         ready_after_s = time.monotonic() - started_at
-        return RunningBinary(
+        return BinaryRun(
             ready_after_s=ready_after_s,
             resident_mb=_resident_mb(pid),
             children=tuple(children),
@@ -106,7 +106,7 @@
 
 
 def child_processes(pid: int) -> tuple[int, ...]:
-    """Return the child processes of a process, whichever thread started them."""
+    """Return the ids of a process's children, whichever thread started them."""
     children = []
     for path in pathlib.Path(f"/proc/{pid}/task").glob("*/children"):
         children.extend(int(child) for child in path.read_text().split())
@@ -126,13 +126,13 @@
         shutil.copy2(file.locate(), destination)
 
 
-def _remove_compiled(staging):
+def _remove_bytecode(staging):
     for directory in tuple(staging.rglob("__pycache__")):
         shutil.rmtree(directory)
 
 
 def _run_shiv(staging, target):
-    # Without --compile-pyc, which would start processes at the first run.
+    # --compile-pyc is omitted, as it would start processes at the first run.
     arguments = ["--site-packages", str(staging), "--output-file", str(target)]
     arguments += ["--entry-point", "cassiaford.cli:main", "--python", INTERPRETER]
     command = [sys.executable, "-m", "shiv", *arguments, "--reproducible"]
@@ -146,7 +146,7 @@
 
 
 def main() -> int:
-    """Build the binary, print what was measured, and return the exit status."""
+    """Build the binary, print its measurements and return the exit status."""
     started_at = time.monotonic()
     build(TARGET)
     print(f"built {TARGET.relative_to(ROOT)} in {time.monotonic() - started_at:.1f} s")
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,9 +1,9 @@
-"""How fast a configuration change spreads between peers, and what it costs.
+"""Propagation delay and cost of a configuration change among peers.
 
-One instance learns of each change from the key-value service; all others are
-cut from it and learn from peers alone, by notices and heartbeats, on virtual
-time with 1.5 ms one way. The cost of the document itself is measured at three
-numbers of customers.
+One instance receives each change from the key-value service. All others cannot
+reach the service and receive it from peers alone, by notices and heartbeats, in
+virtual time with 1.5 ms one way. The cost of the configuration document itself
+is measured at three numbers of customers.
 
     python -m bench.configuration
 """
@@ -34,18 +34,18 @@
 from cassiaford.fleet._revision_codec import decode_configuration, encode_configuration
 from cassiaford.policy import RevisionPolicy
 
-SIZES = (7, 70, 370)
+FLEET_SIZES = (7, 70, 370)
 CUSTOMERS = (100, 1000, 4000)
-CHANGES = 20
+CHANGE_COUNT = 20
 ONE_WAY_S = 0.0015
-HEARTBEAT_S = 1.0
-TICK_S = 0.1
+HEARTBEAT_INTERVAL_S = 1.0
+TICK_INTERVAL_S = 0.1
 LIMIT_S = 5.0
 
 
 @dataclass(frozen=True)
 class Spread:
-    """How a change spread over instances cut from the service, in seconds."""
+    """Propagation of changes over instances that cannot reach the service."""
 
     instances: int
     loss: float
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class DocumentCost:
-    """What the configuration costs at a number of customers."""
+    """The cost of a configuration document with a number of customers."""
 
     customers: int
     snapshot_bytes: int
@@ -68,8 +68,8 @@
     key_check_us: float
 
 
-class _Spread:
-    """Revision policies on virtual time; messages are lost at random."""
+class _Propagation:
+    """Revision policies of a fleet in virtual time; messages are lost at random."""
 
     def __init__(self, size, loss, seed):
         self.rng = random.Random(seed)
@@ -83,8 +83,8 @@
         self.numbers = itertools.count()
         self.notices = self.fetches = 0
         for number in range(size):
-            self.after(self.rng.random() * HEARTBEAT_S, self.heartbeat, number)
-            self.after(self.rng.random() * TICK_S, self.tick, number)
+            self.after(self.rng.random() * HEARTBEAT_INTERVAL_S, self.heartbeat, number)
+            self.after(self.rng.random() * TICK_INTERVAL_S, self.tick, number)
 
     def after(self, delay_s, action, *arguments):
         event = (self.now + delay_s, next(self.numbers), action, arguments)
@@ -95,8 +95,8 @@
             self.after(ONE_WAY_S, action, *arguments)
 
     def change(self):
-        """Make a change at one instance; return how long the others took."""
-        started = self.now
+        """Make a change at one instance and return the delay at each other one."""
+        changed_at = self.now
         revision = Revision(
             self.policies[0].current.revision + 1,
             "operator",
@@ -104,31 +104,31 @@
             0.0,
             (PutCustomer(Customer("academy", 1, 1)),),
         )
-        self.take(0, (revision,))
-        behind = set(range(1, len(self.policies)))
-        took = []
-        while behind:
+        self.apply_entries(0, (revision,))
+        pending = set(range(1, len(self.policies)))
+        delays = []
+        while pending:
             self.now, _, action, arguments = heapq.heappop(self.events)
             action(*arguments)
             done = {
                 n
-                for n in behind
+                for n in pending
                 if self.policies[n].current.revision == revision.number
             }
-            took += [self.now - started] * len(done)
-            behind -= done
-        return took
+            delays += [self.now - changed_at] * len(done)
+            pending -= done
+        return delays
 
-    def take(self, number, entries):
+    def apply_entries(self, number, entries):
         policy = self.policies[number]
         if not [entry for entry in entries if policy.apply_revision(entry)]:
             return
         others = [n for n in range(len(self.policies)) if n != number]
         for peer in policy.choose_peers(others, NOTICE_FANOUT):
             self.notices += 1
-            self.send(self.word, peer, number, policy.current.revision)
+            self.send(self.on_revision_report, peer, number, policy.current.revision)
 
-    def word(self, number, peer, revision):
+    def on_revision_report(self, number, peer, revision):
         self.policies[number].update_from_peer(str(peer), revision, None, self.now)
         self.fetch(number)
 
@@ -139,38 +139,38 @@
             return
         self.fetches += 1
         entries = self.policies[int(peer)].entries_after(policy.current.revision)
-        # A connection and a request take two round trips.
-        self.after(4 * ONE_WAY_S, self.take, number, entries)
+        # Connecting and requesting take two round trips.
+        self.after(4 * ONE_WAY_S, self.apply_entries, number, entries)
 
     def tick(self, number):
         self.fetch(number)
-        self.after(TICK_S, self.tick, number)
+        self.after(TICK_INTERVAL_S, self.tick, number)
 
     def heartbeat(self, number):
         peer = self.rng.randrange(len(self.policies))
-        for one, other in ((number, peer), (peer, number)):
-            revision = self.policies[other].current.revision
-            self.send(self.word, one, other, revision)
-        self.after(HEARTBEAT_S, self.heartbeat, number)
+        for receiver, sender in ((number, peer), (peer, number)):
+            revision = self.policies[sender].current.revision
+            self.send(self.on_revision_report, receiver, sender, revision)
+        self.after(HEARTBEAT_INTERVAL_S, self.heartbeat, number)
 
 
 def measure_spread(size: int, loss: float, seed: int) -> Spread:
-    """Return how changes spread over a fleet of a size."""
-    spread = _Spread(size, loss, seed)
-    took = [spread.change() for _ in range(CHANGES)]
-    times = [one for change in took for one in change]
+    """Return how changes propagate in a fleet of a size."""
+    simulation = _Propagation(size, loss, seed)
+    delays = [simulation.change() for _ in range(CHANGE_COUNT)]
+    times = [delay_s for change in delays for delay_s in change]
     return Spread(
         instances=size,
         loss=loss,
         median_s=round(statistics.median(times), 4),
         slowest_s=round(max(times), 4),
-        notices_per_instance=round(spread.notices / size / CHANGES, 2),
-        fetches_per_instance=round(spread.fetches / size / CHANGES, 2),
+        notices_per_instance=round(simulation.notices / size / CHANGE_COUNT, 2),
+        fetches_per_instance=round(simulation.fetches / size / CHANGE_COUNT, 2),
     )
 
 
 def measure_document(customers: int) -> DocumentCost:
-    """Return what the configuration costs at a number of customers."""
+    """Return the cost of a configuration with a number of customers."""
     names = [f"customer-{number}" for number in range(customers)]
     keys = [issue_key(name) for name in names]
     changes = [PutCustomer(Customer(name, 1, 1, ("binder",))) for name in names]
@@ -197,9 +197,9 @@
 def _best_ms(action, runs=7):
     times = []
     for _ in range(runs):
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         action()
-        times.append(time.perf_counter() - started)
+        times.append(time.perf_counter() - started_at)
     return round(min(times) * 1000, 4)
 
 
@@ -211,7 +211,7 @@
     spreads = [
         measure_spread(size, loss, arguments.seed)
         for loss in (0.0, 0.1)
-        for size in SIZES
+        for size in FLEET_SIZES
     ]
     costs = [measure_document(count) for count in CUSTOMERS]
     results = {
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,9 +1,9 @@
-"""Measures what one customer at five times its rate does to the others.
+"""The effect on other customers of one that sends five times its usual load.
 
 One of the Academy's customers sends five times as much from 60 s on, with no
-limit of rates before the queue. The fair queue is compared with one in order
-of arrival, and both with the same seed without the flood. Customer 3 brings
-the engines near to what they can do, customer 1 beyond it.
+rate limit before the queue. The fair queue is compared with a queue in order of
+arrival, and both with runs of the same seed without the flood. Customer 3 brings
+the engines near their capacity, customer 1 beyond it.
 """
 
 import json
@@ -15,7 +15,7 @@
 import typer
 
 from bench.model import EngineFigures, Fleet, FleetFigures
-from bench.placement_cases import END_S, FAULT_AT_S, RUN_ON_S, Figures, figures
+from bench.placement_cases import COMPLETION_S, END_S, FAULT_AT_S, Figures, figures
 from bench.placement_report import spread
 from bench.workloads import ACADEMY, Arrival
 from cassiaford.policy import (
@@ -26,7 +26,7 @@
 )
 
 RESULTS = pathlib.Path("bench-results")
-DEFAULT_SEEDS = 5
+DEFAULT_SEED_COUNT = 5
 WORKERS = 4
 GREEDY_CUSTOMERS = ("customer-3", "customer-1")
 FLOOD_FACTOR = 5
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class FloodResult:
-    """The figures of the greedy customer and of all others together."""
+    """The figures of the greedy customer and of all others combined."""
 
     case: FloodCase
     others: Figures
@@ -59,14 +59,14 @@
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Run the measurement with these arguments, or those of the process."""
+    """Run the measurement with these arguments, by default those of the process."""
     app = typer.Typer(add_completion=False)
     app.command()(_measure)
     app(args=argv, standalone_mode=False)
 
 
-def _measure(seed: int = 1, seeds: int = DEFAULT_SEEDS) -> None:
-    """Compare the queues with and without a flood, from a first seed."""
+def _measure(seed: int = 1, seeds: int = DEFAULT_SEED_COUNT) -> None:
+    """Compare the queues with and without a flood; `seed` is the first seed."""
     cases = [
         FloodCase(queue, greedy, flood, number)
         for greedy in GREEDY_CUSTOMERS
@@ -89,7 +89,7 @@
 
 
 def run_case(case: FloodCase) -> FloodResult:
-    """Run one case."""
+    """Run one case and return its figures."""
     fleet = Fleet(
         ACADEMY.engines,
         ACADEMY.instances,
@@ -100,11 +100,13 @@
         QUEUES[case.queue],
     )
     arrivals = ACADEMY.arrivals(case.seed, END_S)
-    fleet.run(_flooded(arrivals, case) if case.flood else arrivals, END_S + RUN_ON_S)
+    fleet.run(
+        _flooded(arrivals, case) if case.flood else arrivals, END_S + COMPLETION_S
+    )
     others, greedy = [], []
     for record in fleet.records.values():
-        own = record.arrival.customer == case.greedy
-        (greedy if own else others).append(record)
+        is_greedy = record.arrival.customer == case.greedy
+        (greedy if is_greedy else others).append(record)
     return FloodResult(
         case,
         figures(others, FAULT_AT_S, END_S),
@@ -113,7 +115,7 @@
 
 
 def _flooded(arrivals: Iterator[Arrival], case: FloodCase) -> list[Arrival]:
-    # The flood draws on the same customer's requests under other seeds.
+    # The flood consists of the same customer's requests drawn with other seeds.
     extra = [
         arrival
         for number in range(1, FLOOD_FACTOR)
@@ -124,18 +126,18 @@
 
 
 def _print(group, results):
-    def values(name, who):
-        return spread([getattr(getattr(result, who), name) for result in results])
+    def values(name, customers):
+        return spread([getattr(getattr(result, customers), name) for result in results])
 
     flood = "flood" if group.flood else "no flood"
     print(f"{flood} of {group.greedy}, {group.queue} queue")
-    for who in ("others", "greedy"):
+    for customers in ("others", "greedy"):
         print(
-            f"  {who}: requests {values('requests', who).median:.0f}"
-            f"  p50 {values('first_token_p50_s', who)} s"
-            f"  p99 {values('first_token_p99_s', who)} s"
-            f"  in time {values('in_time', who)}"
-            f"  refused {values('refused', who)}"
+            f"  {customers}: requests {values('requests', customers).median:.0f}"
+            f"  p50 {values('first_token_p50_s', customers)} s"
+            f"  p99 {values('first_token_p99_s', customers)} s"
+            f"  in time {values('in_time', customers)}"
+            f"  refused {values('refused', customers)}"
         )
 
 
--- a/bench/fleet_shares.py
+++ b/bench/fleet_shares.py
@@ -1,8 +1,8 @@
-"""Several share books in virtual time, with the failures of a fleet.
+"""A simulated fleet that shares a customer's rate, with failures, in virtual time.
 
-Messages between instances may be lost, doubled, delayed and reordered;
-instances crash and restart, pause, or are cut off; the key-value service has
-outages. All of it comes from one seed.
+Messages between instances may be lost, duplicated, delayed and reordered.
+Instances crash and restart, pause, or are partitioned from the others. The
+key-value service has outages. One seed determines all of it.
 """
 
 import heapq
@@ -13,10 +13,10 @@
 from cassiaford.policy import Bucket, Holder, Ledger, Limit, RateShares
 
 CUSTOMER = "academy"
-TICK_S = 0.05
-LEDGER_S = 0.5
-CALL_S = 0.004
-# The platform's list drops an instance this long after it died.
+TICK_INTERVAL_S = 0.05
+LEDGER_INTERVAL_S = 0.5
+SERVICE_CALL_S = 0.004
+# The platform's instance list drops an instance this long after its crash.
 LIST_LAG_S = 10.0
 LEASE_TTL_S = 10.0
 RESTART_S = 3.0
@@ -24,30 +24,30 @@
 
 @dataclass
 class Network:
-    """How messages between instances fare."""
+    """Delay, loss and duplication of messages between instances."""
 
     one_way_s: float = 0.0015
     loss: float = 0.0
-    doubling: float = 0.0
+    duplication: float = 0.0
     jitter_s: float = 0.0005
 
 
 @dataclass
 class Node:
-    """One instance; the book is None while it is down."""
+    """One instance; `shares` is None while it is down."""
 
     name: str
-    book: RateShares | None = None
+    shares: RateShares | None = None
     incarnation: int = 0
     paused_until: float = 0.0
     inbox: list = field(default_factory=list)
     waiting: list = field(default_factory=list)
-    heard_at: float = 0.0
+    last_service_contact_at: float = 0.0
 
 
 @dataclass
 class Waiting:
-    """A charge that waits for tokens from other instances."""
+    """A charge that waits for tokens lent by other instances."""
 
     tokens: float
     arrived_at: float
@@ -55,36 +55,36 @@
 
 
 class Meter:
-    """What a single bucket of the whole fleet would have allowed.
+    """Comparison of the fleet's decisions with a single token bucket.
 
-    `worst` is the least level of a bucket that takes whatever the fleet
-    admits: below zero, some span saw more than burst + rate * span. `oracle`
-    admits what a limiter with perfect knowledge would.
+    `min_level` is the lowest level of a bucket that is charged with every request
+    the fleet admits: if it is below zero, more than burst + rate * span was admitted
+    in some span. `oracle` admits what a limiter with perfect knowledge would.
     """
 
     def __init__(self, limit):
         self.admitted = Bucket(limit.rate, limit.burst, limit.burst, 0.0)
         self.oracle = Bucket(limit.rate, limit.burst, limit.burst, 0.0)
-        self.worst = limit.burst
+        self.min_level = limit.burst
         self.offered = 0
         self.refused = 0
-        self.wrongful = 0
+        self.wrongful_refusals = 0
 
     def admit(self, tokens, now):
         """Count a request that the fleet admitted."""
         self.admitted.advance(now)
         self.admitted.level -= tokens
-        self.worst = min(self.worst, self.admitted.level)
+        self.min_level = min(self.min_level, self.admitted.level)
 
     def offer(self, tokens, now):
         """Return whether the oracle admits a request."""
         self.offered += 1
         return self.oracle.take(tokens, now)
 
-    def refuse(self, deserved):
-        """Count a refusal; `deserved` if the oracle admitted it."""
+    def refuse(self, oracle_admits):
+        """Count a refusal, which is wrongful if the oracle admitted the request."""
         self.refused += 1
-        self.wrongful += deserved
+        self.wrongful_refusals += oracle_admits
 
 
 class Fleet:
@@ -113,7 +113,7 @@
         self.events = []
         self.ledger = Ledger()
         self.service_down = False
-        self.cut = set()
+        self.partitioned = set()
         self.messages = 0
         self.ledger_writes = 0
         self.meter = Meter(self.limit)
@@ -122,12 +122,12 @@
             self.start(node)
 
     def at(self, when, action):
-        """Do something at a time."""
+        """Schedule an action at a time."""
         self.sequence += 1
         heapq.heappush(self.events, (when, self.sequence, action))
 
     def run(self, until):
-        """Let time pass."""
+        """Run the scheduled actions up to a time."""
         while self.events and self.events[0][0] <= until:
             self.now, _, action = heapq.heappop(self.events)
             action()
@@ -138,88 +138,91 @@
     def start(self, node):
         """Start an instance in a new incarnation."""
         node.incarnation += 1
-        node.book = RateShares(node.name, node.incarnation, self.now, self.owners)
-        node.book.configure({CUSTOMER: self.limit}, self.now)
-        node.heard_at = self.now
+        node.shares = RateShares(node.name, node.incarnation, self.now, self.owners)
+        node.shares.configure({CUSTOMER: self.limit}, self.now)
+        node.last_service_contact_at = self.now
         for other in self.nodes.values():
-            if other.book is not None:
-                other.book.mark_gone(node.name, node.incarnation - 1)
-        book = node.book
-        self.keep_ledger(node, book)
-        self.tick(node, book)
+            if other.shares is not None:
+                other.shares.mark_gone(node.name, node.incarnation - 1)
+        shares = node.shares
+        self.poll_ledger(node, shares)
+        self.tick(node, shares)
 
     def crash(self, node, restart=True):
-        """End an instance; it may be restarted soon."""
-        holder = node.book.holder
-        node.book = None
+        """Crash an instance; by default it restarts after `RESTART_S`."""
+        holder = node.shares.holder
+        node.shares = None
         node.inbox.clear()
         node.waiting.clear()
         lag = LIST_LAG_S if self.ttl is None else self.ttl
         self.at(self.now + lag, lambda: self.drop_from_list(holder))
         if restart:
-            self.at(self.now + RESTART_S, lambda: node.book or self.start(node))
+            self.at(self.now + RESTART_S, lambda: node.shares or self.start(node))
 
     def drop_from_list(self, holder):
-        """Have the list drop an incarnation, which is gone then."""
+        """Remove an incarnation from the instance list, which marks it as gone."""
         for node in self.nodes.values():
-            if node.book is not None and node.book.holder != holder:
-                node.book.mark_gone(holder.instance, holder.incarnation)
+            if node.shares is not None and node.shares.holder != holder:
+                node.shares.mark_gone(holder.instance, holder.incarnation)
 
     def pause(self, node, seconds):
-        """Stop an instance for a while; the list may drop it meanwhile."""
+        """Pause an instance; the list drops it if that lasts beyond `LIST_LAG_S`."""
         node.paused_until = self.now + seconds
-        if node.book is not None and seconds > LIST_LAG_S:
-            holder = node.book.holder
+        if node.shares is not None and seconds > LIST_LAG_S:
+            holder = node.shares.holder
             self.at(self.now + LIST_LAG_S, lambda: self.drop_from_list(holder))
 
-    def paused(self, node):
-        """Return whether an instance is stopped."""
+    def is_paused(self, node):
+        """Return whether an instance is paused."""
         return self.now < node.paused_until
 
-    def tick(self, node, book):
-        """Do what is due, now and again."""
-        if node.book is not book:
+    def tick(self, node, shares):
+        """Do an instance's periodic work and schedule the next tick."""
+        if node.shares is not shares:
             return
-        self.at(self.now + TICK_S, lambda: self.tick(node, book))
-        if self.paused(node):
+        self.at(self.now + TICK_INTERVAL_S, lambda: self.tick(node, shares))
+        if self.is_paused(node):
             return
         inbox, node.inbox = node.inbox, []
         for sender, message in inbox:
             self.receive(node, sender, message)
-        self.send(node, book.tick(self.now, self.nodes))
+        self.send(node, shares.tick(self.now, self.nodes))
         self.expire(node)
         self.retry_waiting(node)
 
-    def keep_ledger(self, node, book):
-        """Read the ledger and write it where need be."""
-        if node.book is not book:
+    def poll_ledger(self, node, shares):
+        """Read the ledger from the service periodically."""
+        if node.shares is not shares:
             return
-        self.at(self.now + LEDGER_S, lambda: self.keep_ledger(node, book))
-        reachable = not self.service_down and node.name not in self.cut
-        if self.paused(node) or not reachable:
+        self.at(self.now + LEDGER_INTERVAL_S, lambda: self.poll_ledger(node, shares))
+        reachable = not self.service_down and node.name not in self.partitioned
+        if self.is_paused(node) or not reachable:
             self.expire(node)
             return
-        node.heard_at = self.now
-        read, began = self.ledger, self.now
-        self.at(self.now + CALL_S, lambda: self.on_ledger(node, book, read, began))
-
-    def on_ledger(self, node, book, read, began):
-        """Take in the ledger; an answer is lost now and then."""
-        if node.book is not book or self.paused(node):
+        node.last_service_contact_at = self.now
+        read, started_at = self.ledger, self.now
+        self.at(
+            self.now + SERVICE_CALL_S,
+            lambda: self.on_ledger_read(node, shares, read, started_at),
+        )
+
+    def on_ledger_read(self, node, shares, read, started_at):
+        """Apply the ledger read and write the next one; one response in ten is lost."""
+        if node.shares is not shares or self.is_paused(node):
             return
-        book.apply_service_ledger(read, began, self.now)
-        wanted = book.next_ledger()
-        if wanted is None or wanted.epoch != self.ledger.epoch + 1:
+        shares.apply_service_ledger(read, started_at, self.now)
+        next_ledger = shares.next_ledger()
+        if next_ledger is None or next_ledger.epoch != self.ledger.epoch + 1:
             return
         self.ledger_writes += 1
-        self.ledger = wanted
+        self.ledger = next_ledger
         if self.rng.random() < 0.9:
-            book.apply_service_ledger(wanted, began, self.now)
+            shares.apply_service_ledger(next_ledger, started_at, self.now)
 
     def expire(self, node):
-        """Stop using shares that were not renewed, where they expire."""
-        if self.ttl is not None and self.now > node.heard_at + self.ttl:
-            node.book.suspended = True
+        """Suspend shares that were not renewed in time, if shares expire."""
+        if self.ttl is not None and self.now > node.last_service_contact_at + self.ttl:
+            node.shares.suspended = True
 
     # Messages.
 
@@ -227,83 +230,87 @@
         """Send messages over the network."""
         for item in sends:
             self.messages += 1
-            copies = 1 + (self.rng.random() < self.network.doubling)
+            copies = 1 + (self.rng.random() < self.network.duplication)
             if self.rng.random() < self.network.loss:
                 copies = 0
             for _ in range(copies):
                 delay = self.network.one_way_s
                 delay += self.rng.expovariate(1.0 / self.network.jitter_s)
-                sender = node.book.holder
+                sender = node.shares.holder
                 self.at(
                     self.now + delay,
                     lambda s=sender, i=item: self.deliver(s, i),
                 )
 
     def deliver(self, sender, item):
-        """Deliver a message, unless something is in the way."""
+        """Deliver a message unless its receiver is down or unreachable."""
         node = self.nodes[item.instance]
-        separated = (node.name in self.cut) != (sender.instance in self.cut)
-        if node.book is None or separated:
+        is_partitioned = (node.name in self.partitioned) != (
+            sender.instance in self.partitioned
+        )
+        if node.shares is None or is_partitioned:
             return
-        if self.paused(node):
+        if self.is_paused(node):
             node.inbox.append((sender, item.message))
         else:
             self.receive(node, sender, item.message)
             self.retry_waiting(node)
 
     def receive(self, node, sender: Holder, message):
-        """Hand a message to a book and send its answers."""
-        self.send(node, node.book.receive(sender, message, self.now))
+        """Process a received message and send the replies."""
+        self.send(node, node.shares.receive(sender, message, self.now))
         self.expire(node)
 
     # Requests.
 
     def request(self, node, tokens):
-        """Let a caller send a request to an instance."""
-        deserved = self.meter.offer(tokens, self.now)
-        if node.book is None or self.paused(node):
-            # The caller goes to another instance.
-            live = [n for n in self.nodes.values() if n.book and not self.paused(n)]
-            if not live:
+        """Process a caller's request to an instance."""
+        oracle_admits = self.meter.offer(tokens, self.now)
+        if node.shares is None or self.is_paused(node):
+            # The caller retries at another instance.
+            running = [
+                n for n in self.nodes.values() if n.shares and not self.is_paused(n)
+            ]
+            if not running:
                 return
-            node = self.rng.choice(live)
+            node = self.rng.choice(running)
         if not self.charge(node, tokens):
-            self.await_tokens(node, tokens, deserved)
+            self.await_tokens(node, tokens, oracle_admits)
 
     def charge(self, node, tokens):
-        """Return whether the instance holds enough."""
-        charged = node.book.charge(CUSTOMER, tokens, self.now)
+        """Charge a request if enough tokens are available; return whether it did."""
+        charged = node.shares.charge(CUSTOMER, tokens, self.now)
         if charged:
             self.meter.admit(tokens, self.now)
         return charged
 
-    def await_tokens(self, node, tokens, deserved):
-        """Hold a charge that lacks tokens while it may yet get them."""
+    def await_tokens(self, node, tokens, oracle_admits):
+        """Queue a charge that lacks tokens until its deadline."""
         deadline = self.now + self.charge_wait_s
-        node.waiting.append((tokens, deserved, deadline))
+        node.waiting.append((tokens, oracle_admits, deadline))
         self.at(deadline, lambda: self.retry_waiting(node))
         self.retry_waiting(node)
 
     def retry_waiting(self, node):
-        """Charge what waits, ask again, or refuse."""
+        """Charge queued requests, request loans for them again, or refuse them."""
         waiting, node.waiting = node.waiting, []
-        for tokens, deserved, deadline in waiting:
-            if node.book is None or self.paused(node):
-                self.meter.refuse(deserved)
+        for tokens, oracle_admits, deadline in waiting:
+            if node.shares is None or self.is_paused(node):
+                self.meter.refuse(oracle_admits)
             elif self.charge(node, tokens):
                 continue
-            elif self.may_get(node, tokens) and self.now < deadline:
-                node.waiting.append((tokens, deserved, deadline))
+            elif self.awaits_loan(node, tokens) and self.now < deadline:
+                node.waiting.append((tokens, oracle_admits, deadline))
             else:
-                self.meter.refuse(deserved)
+                self.meter.refuse(oracle_admits)
 
-    def may_get(self, node, tokens):
-        """Return whether tokens may still come, having asked for them."""
+    def awaits_loan(self, node, tokens):
+        """Request a loan unless one is pending; return whether one may still arrive."""
         if not self.lending:
             return False
-        if not node.book.awaits_reply(CUSTOMER, self.now):
-            self.send(node, node.book.request_loans(CUSTOMER, tokens, self.now))
-        return node.book.awaits_reply(CUSTOMER, self.now)
+        if not node.shares.awaits_reply(CUSTOMER, self.now):
+            self.send(node, node.shares.request_loans(CUSTOMER, tokens, self.now))
+        return node.shares.awaits_reply(CUSTOMER, self.now)
 
     def offer_load(self, load, tokens, until, weights=None):
         """Offer requests of a mean size at a multiple of the rate."""
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -1,10 +1,10 @@
-"""Measures what the gateway's log costs a request, in processor time.
+"""The cost of the gateway's log for a request, in processor time.
 
     python -m bench.log_cost
 
-Prints microseconds a line, written and dropped, and a request at the share of
-requests that is written. Lines go through a pipe that is read at once; the
-reader's part is in the figure.
+Prints the microseconds for a written line, for a dropped one, and for a request
+when only a sample is written. Lines go through a pipe that is read immediately;
+the reader's processor time is included.
 """
 
 import os
@@ -34,22 +34,22 @@
 
 def cost_us(write, lines: int = LINES) -> float:
     """Return the processor time of one call in microseconds."""
-    started = time.process_time()
+    started_at = time.process_time()
     for _ in range(lines):
         write()
-    return (time.process_time() - started) / lines * 1e6
+    return (time.process_time() - started_at) / lines * 1e6
 
 
 def main() -> None:
-    """Print the costs."""
+    """Measure and print the costs."""
     reader, writer = os.pipe()
     threading.Thread(target=drain, args=(reader,), daemon=True).start()
     configure_logging("json", "info", NonBlockingStream(writer))
     log = EventLog("entry-1", 1)
 
-    def call(method, budget):
-        # The budget of lines is set before each call, so that none runs out.
-        log._level = budget
+    def call(method, line_budget):
+        # The line budget is set before each call, so that it never runs out.
+        log._level = line_budget
         method(Event.REQUEST_COMPLETED, **FIELDS)
 
     results = {
@@ -59,12 +59,12 @@
             lambda: call(log.write_sampled, 1000.0)
         ),
     }
-    for name, value in results.items():
-        typer.echo(f"{name}: {value:.1f} us")
+    for name, us_per_call in results.items():
+        typer.echo(f"{name}: {us_per_call:.1f} us")
 
 
 def drain(reader):
-    """Read a pipe to its end, as the platform does."""
+    """Read a pipe to its end, as the platform does with the log."""
     while os.read(reader, 1 << 16):
         pass
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,9 +1,9 @@
-"""What membership costs an instance, at three sizes of the fleet.
+"""The cost of membership for an instance, at three sizes of the fleet.
 
-Runs the membership decisions on virtual time in one process and encodes,
-authenticates and decodes every message as the product does. Bytes are those
-of the datagrams' contents; processor time leaves out the system's own time for
-a datagram, which is measured apart.
+Runs the membership decisions in virtual time in one process and encodes,
+authenticates and decodes every message as the product does. Byte rates
+include the IP and UDP headers. Processor time excludes the operating system's
+work for a datagram, which is measured separately.
 
     python -m bench.membership
 """
@@ -23,21 +23,21 @@
 from tests.virtual_fleet import VirtualFleet
 
 SIZES = (7, 70, 370)
-STEADY_S = 60.0
-SETTLE_LIMIT_S = 120.0
+STEADY_SPAN_S = 60.0
+CONVERGENCE_TIMEOUT_S = 120.0
 LIMIT_BYTES_PER_S = 4096.0
-LIMIT_CORE_SHARE = 0.033
+LIMIT_CORE_FRACTION = 0.033
 SECRET = b"a secret that is only for the bench"
-# Sent and received datagrams carry these bytes of IP and UDP headers each.
+# Bytes of IP and UDP headers in each datagram.
 HEADER_BYTES = 28
 WALL_CLOCK_START_S = 1_790_000_000
-# As large as one taken from the wall clock.
+# As large as an incarnation taken from the wall clock, in milliseconds.
 INCARNATION = WALL_CLOCK_START_S * 1000
 
 
 @dataclass(frozen=True)
 class Cost:
-    """What one instance of a fleet spends, each second in the steady state."""
+    """The cost of membership for one instance of a fleet in the steady state."""
 
     instances: int
     messages_sent_per_s: float
@@ -52,11 +52,11 @@
 
 
 class _Meter:
-    """Encodes and decodes each message on its way and counts bytes."""
+    """Counter of bytes that encodes and decodes each message in transit."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.gates = {}
+        self.authenticators = {}
         self.reset()
         fleet.on_send = self.on_send
 
@@ -67,46 +67,48 @@
 
     def on_send(self, sender, receiver, message):
         body = encode_membership(message)
-        frame = self.gate(sender).create_frame(receiver or "", Channel.MEMBERSHIP, body)
+        frame = self.authenticator(sender).create_frame(
+            receiver or "", Channel.MEMBERSHIP, body
+        )
         self.messages += 1
         self.bytes += len(frame) + HEADER_BYTES
         self.largest = max(self.largest, len(frame))
         if receiver in self.fleet.nodes:
-            received = self.gate(receiver).accept(frame)
+            received = self.authenticator(receiver).accept(frame)
             decode_membership(received.body)
 
     def wall_clock(self):
         return WALL_CLOCK_START_S + self.fleet.now
 
-    def gate(self, name):
-        if name not in self.gates:
+    def authenticator(self, name):
+        if name not in self.authenticators:
             identity = Identity(name, INCARNATION, SECRET)
-            self.gates[name] = FrameAuthenticator(
+            self.authenticators[name] = FrameAuthenticator(
                 identity, HybridClock(self.wall_clock)
             )
-        return self.gates[name]
+        return self.authenticators[name]
 
 
 def measure(size: int, seed: int) -> Cost:
-    """Return what an instance spends in a fleet of a size."""
+    """Return the cost for an instance in a fleet of a size."""
     fleet = VirtualFleet(seed)
     meter = _Meter(fleet)
     for number in range(size):
         fleet.start(f"entry-{number}", ["entry-0", "entry-1", "entry-2"], INCARNATION)
-    herd_s = fleet.run_until(fleet.agreed, SETTLE_LIMIT_S)
+    herd_s = fleet.run_until(fleet.agreed, CONVERGENCE_TIMEOUT_S)
     herd_rate = meter.bytes / size / herd_s
     largest = meter.largest
-    fleet.run(STEADY_S)
+    fleet.run(STEADY_SPAN_S)
     meter.reset()
-    started = time.process_time()
-    fleet.run(STEADY_S)
-    used_s = time.process_time() - started
-    per_s = 1.0 / (size * STEADY_S)
+    started_at = time.process_time()
+    fleet.run(STEADY_SPAN_S)
+    used_s = time.process_time() - started_at
+    per_s = 1.0 / (size * STEADY_SPAN_S)
     sent, messages = meter.bytes, meter.messages
     largest = max(largest, meter.largest)
     false_deaths = sum(update.state >= 2 for _, _, update in fleet.changes)
     fleet.kill(f"entry-{size - 1}")
-    detection_s = fleet.run_until(fleet.agreed, SETTLE_LIMIT_S)
+    detection_s = fleet.run_until(fleet.agreed, CONVERGENCE_TIMEOUT_S)
     return Cost(
         instances=size,
         messages_sent_per_s=round(messages * per_s, 3),
@@ -122,15 +124,15 @@
 
 
 def datagram_cost_s(count: int = 20_000, size: int = 300) -> float:
-    """Return the processor time of sending and receiving one datagram."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        address, body = one.getsockname(), bytes(size)
-        started = time.process_time()
+    """Return the processor time to send and receive one datagram."""
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.bind(("127.0.0.1", 0))
+        address, body = sock.getsockname(), bytes(size)
+        started_at = time.process_time()
         for _ in range(count):
-            one.sendto(body, address)
-            one.recv(2048)
-        return (time.process_time() - started) / count
+            sock.sendto(body, address)
+            sock.recv(2048)
+        return (time.process_time() - started_at) / count
 
 
 def main(argv: Sequence[str] | None = None) -> None:
@@ -142,7 +144,7 @@
     costs = [measure(size, arguments.seed) for size in arguments.sizes]
     results = {
         "seed": arguments.seed,
-        "limits": {"bytes_per_s": LIMIT_BYTES_PER_S, "core_share": LIMIT_CORE_SHARE},
+        "limits": {"bytes_per_s": LIMIT_BYTES_PER_S, "core_share": LIMIT_CORE_FRACTION},
         "datagram_cost_s": datagram_cost_s(),
         "costs": [asdict(cost) for cost in costs],
     }
@@ -151,7 +153,7 @@
     (folder / "membership.json").write_text(json.dumps(results, indent=2))
     for cost in costs:
         print(json.dumps(asdict(cost)))
-    print(f"a datagram costs the system {results['datagram_cost_s'] * 1e6:.1f} us")
+    print(f"one datagram costs the system {results['datagram_cost_s'] * 1e6:.1f} us")
 
 
 if __name__ == "__main__":
--- a/bench/placement_cases.py
+++ b/bench/placement_cases.py
@@ -1,7 +1,8 @@
 """Runs of placement policies on workloads, with and without faults.
 
-Each policy meets the same requests. A fault comes at 60 s; figures are taken
-in the 10 s after it and from then on, in steady state from 30 s on.
+Each policy gets the same requests. A fault occurs at 60 s; figures are taken over
+the 10 s after it and over the time from then on. Without a fault, the steady state
+is taken from 30 s on.
 """
 
 import random
@@ -24,25 +25,25 @@
 from bench.workloads import WORKLOADS, Workload
 from cassiaford.policy import PlacementPolicy, create_placement
 
-SETTLED_AT_S = 30.0
+STEADY_FROM_S = 30.0
 FAULT_AT_S = 60.0
 RECOVERY_S = 10.0
 END_S = 100.0
-# Requests that arrive last still get the time that their deadline gives them.
-RUN_ON_S = 35.0
+# The run goes on after the last arrival until its deadline has passed.
+COMPLETION_S = 35.0
 ENGINE_DOWN_S = 3.0
 STEADY = "steady"
 PREFIX_SHIFT = "prefix-shift"
 ENGINE_CRASH = "engine-crash"
 HERD_RESTART = "herd-restart"
 SCENARIOS = (STEADY, PREFIX_SHIFT, ENGINE_CRASH, HERD_RESTART)
-# A first token within this time counts as good service.
+# The target time to the first token, by service class.
 FIRST_TOKEN_TARGET_S = {"interactive": 0.6, "standard": 2.0, "batch": 10.0}
 WORKERS = 4
-# Of the weights tried, the one with which the oracle does best.
+# The weight with which the oracle has its best figures.
 ORACLE_RECOMPUTE_WEIGHT = 1.5
-# Times to the first token are recorded in microseconds, up to five minutes.
-MAX_MICROSECONDS = 300_000_000
+# The histogram covers times to the first token of up to five minutes.
+MAX_FIRST_TOKEN_US = 300_000_000
 SIGNIFICANT_DIGITS = 3
 OURS = "cassiaford"
 ORACLE = "oracle"
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One run: a policy on a workload in a scenario with a seed."""
+    """A run of a policy on a workload in a scenario with a seed."""
 
     policy: str
     workload: str
@@ -69,13 +70,13 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """What was measured of the requests that arrived in a span of time.
+    """Measurements of the requests that arrived in a span of time.
 
-    `wasted_tokens` counts, for each request, prompt tokens computed again
-    after an engine had computed them. `in_time` is the part of the requests
-    that got their first token within the target of their class,
-    `worst_customer` that part for the worst-served customer, divided by the
-    mean of the customers' parts.
+    `wasted_tokens` is the mean number of prompt tokens in a request that were
+    computed again after an engine had computed them. `in_time` is the fraction of
+    requests that got their first token within the target of their class.
+    `worst_customer` is the lowest such fraction of any customer, divided by the
+    mean of the customers' fractions.
     """
 
     requests: int
@@ -92,15 +93,15 @@
 
 @dataclass(frozen=True)
 class CaseResult:
-    """The figures of one run: in the 10 s after the fault, and when settled."""
+    """The figures of one run: in the 10 s after the fault and in the steady state."""
 
     case: Case
     fault: Figures
-    settled: Figures
+    steady_state: Figures
 
 
 def run_case(case: Case) -> CaseResult:
-    """Run one case."""
+    """Run one case and return its figures."""
     workload = next(item for item in WORKLOADS if item.name == case.workload)
     fleet = Fleet(
         workload.engines,
@@ -112,32 +113,32 @@
     )
     records = run_scenario(fleet, workload, case.scenario, case.seed)
     recovered_at = FAULT_AT_S + RECOVERY_S
-    settled_at = SETTLED_AT_S if case.scenario == STEADY else recovered_at
+    steady_from = STEADY_FROM_S if case.scenario == STEADY else recovered_at
     return CaseResult(
         case,
         figures(records, FAULT_AT_S, recovered_at),
-        figures(records, settled_at, END_S),
+        figures(records, steady_from, END_S),
     )
 
 
 def run_scenario(
     fleet: Fleet, workload: Workload, scenario: str, seed: int
 ) -> list[RequestRecord]:
-    """Run a workload with the fault of a scenario; return all records."""
+    """Run a workload with a scenario's fault and return all records."""
     shift_at = FAULT_AT_S if scenario == PREFIX_SHIFT else None
     if scenario == ENGINE_CRASH:
         name = next(iter(fleet.engines))
         fleet.schedule.at(FAULT_AT_S, fleet.crash_engine, name, ENGINE_DOWN_S)
     if scenario == HERD_RESTART:
         fleet.schedule.at(FAULT_AT_S, fleet.restart_instances)
-    fleet.run(workload.arrivals(seed, END_S, shift_at), END_S + RUN_ON_S)
+    fleet.run(workload.arrivals(seed, END_S, shift_at), END_S + COMPLETION_S)
     return list(fleet.records.values())
 
 
 def figures(records: Sequence[RequestRecord], start: float, end: float) -> Figures:
     """Return the figures of the requests that arrived in a span of time."""
     chosen = [record for record in records if start <= record.arrival.time < end]
-    times = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
+    times = HdrHistogram(1, MAX_FIRST_TOKEN_US, SIGNIFICANT_DIGITS)
     for record in chosen:
         if record.first_token_at is not None:
             times.record_value(max(1, int(_first_token_s(record) * 1e6)))
@@ -164,12 +165,12 @@
 
 
 def _worst_customer(records: Sequence[RequestRecord]) -> float:
-    served = defaultdict(list)
+    in_time_by_customer = defaultdict(list)
     for record in records:
-        served[record.arrival.customer].append(_is_in_time(record))
-    parts = [statistics.mean(in_time) for in_time in served.values()]
-    mean = statistics.mean(parts) if parts else 0.0
-    return min(parts) / mean if mean else 0.0
+        in_time_by_customer[record.arrival.customer].append(_is_in_time(record))
+    fractions = [statistics.mean(in_time) for in_time in in_time_by_customer.values()]
+    mean = statistics.mean(fractions) if fractions else 0.0
+    return min(fractions) / mean if mean else 0.0
 
 
 def _is_in_time(record: RequestRecord) -> bool:
@@ -178,7 +179,7 @@
 
 
 def run_cases(cases: Sequence[Case]) -> list[CaseResult]:
-    """Run cases on a few processes."""
+    """Run cases in several processes and return their results."""
     with ProcessPoolExecutor(WORKERS) as executor:
         return list(executor.map(run_case, cases))
 
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -1,7 +1,7 @@
-"""Measures what placement costs: time of a decision, memory, intake of events.
+"""The cost of placement: time of a decision and of a cache event, and memory.
 
-Times are processor time of the one thread, so that other work on the machine
-counts as little as it can.
+Times are processor times of the thread, so that other work on the machine affects
+them as little as possible.
 """
 
 import json
@@ -30,11 +30,11 @@
 SECTION_BLOCKS = 6
 SECTIONS = 8
 DECISIONS = 4000
-WARM_UP = 1000
+WARM_UP_DECISIONS = 1000
 REQUEST_INTERVAL_S = 0.04
 FIRST_TOKEN_S = 0.1
 EVENTS = 20_000
-EVENTS_IN_MESSAGE = 200
+EVENTS_PER_MESSAGE = 200
 SLOTS = 32
 MAX_NANOSECONDS = 10**9
 
@@ -43,7 +43,7 @@
 class Cost:
     """The cost of placement at one size.
 
-    Memory is all that the policy holds, as `tracemalloc` counts it.
+    `memory_bytes` is the memory that the policy uses, as counted by `tracemalloc`.
     """
 
     servers: int
@@ -57,14 +57,14 @@
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Run the measurement with these arguments, or those of the process."""
+    """Run the measurement with these arguments, by default those of the process."""
     app = typer.Typer(add_completion=False)
     app.command()(_measure)
     app(args=argv, standalone_mode=False)
 
 
 def _measure(seed: int = 1) -> None:
-    """Measure every number of servers with every number of prefixes."""
+    """Measure every combination of numbers of servers and prefixes."""
     costs = [
         measure_cost(servers, prefixes, seed)
         for servers in SERVERS
@@ -88,28 +88,28 @@
 
 
 def measure_cost(servers: int, prefixes: int, seed: int) -> Cost:
-    """Return the cost at one number of servers and of known prefixes."""
-    placing, starting = _timed_run(servers, prefixes, seed)
-    policy, memory = _grown_policy(servers, prefixes, seed)
+    """Return the cost with a number of servers and of known prefixes."""
+    placement_times, start_times = _timed_run(servers, prefixes, seed)
+    policy, memory = _filled_policy(servers, prefixes, seed)
     return Cost(
         servers,
         prefixes,
         len(policy.table),
-        placing.get_value_at_percentile(50) / 1000,
-        placing.get_value_at_percentile(99) / 1000,
-        starting.get_value_at_percentile(50) / 1000,
+        placement_times.get_value_at_percentile(50) / 1000,
+        placement_times.get_value_at_percentile(99) / 1000,
+        start_times.get_value_at_percentile(50) / 1000,
         _event_cost(create_placement(), servers, seed),
         memory,
     )
 
 
-def _grown_policy(servers, prefixes, seed):
+def _filled_policy(servers, prefixes, seed):
     tracemalloc.start()
     policy = create_placement()
     _event_cost(policy, servers, seed)
     run = _Run(policy, servers, prefixes, seed)
     run.serve(DECISIONS)
-    # The histograms and requests of the run are no part of the policy.
+    # The run's histograms and requests do not count as the policy's memory.
     del run
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -118,27 +118,27 @@
 
 def _timed_run(servers, prefixes, seed):
     run = _Run(create_placement(), servers, prefixes, seed)
-    run.serve(WARM_UP)
-    run.placing.reset()
-    run.starting.reset()
+    run.serve(WARM_UP_DECISIONS)
+    run.placement_times.reset()
+    run.start_times.reset()
     run.serve(DECISIONS)
-    return run.placing, run.starting
+    return run.placement_times, run.start_times
 
 
 class _Run:
-    """Requests of some prefixes, placed one after the other."""
+    """A sequence of requests with a number of prefixes, placed one by one."""
 
     def __init__(self, policy: PrefixPlacement, servers: int, prefixes: int, seed: int):
         self.policy = policy
         self.prefixes = prefixes
         self.rng = random.Random(seed)
         self.views = [ServerView(f"engine-{n}", SLOTS) for n in range(servers)]
-        self.placing = HdrHistogram(1, MAX_NANOSECONDS, 3)
-        self.starting = HdrHistogram(1, MAX_NANOSECONDS, 3)
+        self.placement_times = HdrHistogram(1, MAX_NANOSECONDS, 3)
+        self.start_times = HdrHistogram(1, MAX_NANOSECONDS, 3)
         self.served = 0
 
     def serve(self, count: int) -> None:
-        """Place requests and have each served by its server."""
+        """Place a number of requests and record their start, first token and end."""
         for _ in range(count):
             self.served += 1
             self._serve_one(self._request(), self.served * REQUEST_INTERVAL_S)
@@ -146,9 +146,10 @@
     def _serve_one(self, request, now):
         policy = self.policy
         placement = _timed(
-            self.placing, lambda: policy.place(request, self.views, now, self.rng)
+            self.placement_times,
+            lambda: policy.place(request, self.views, now, self.rng),
         )
-        _timed(self.starting, lambda: policy.record_start(placement, request, now))
+        _timed(self.start_times, lambda: policy.record_start(placement, request, now))
         policy.record_first_token(request.request_id, now + FIRST_TOKEN_S)
         policy.record_end(request.request_id, now + FIRST_TOKEN_S)
 
@@ -180,7 +181,7 @@
     rng = random.Random(seed)
     messages = [
         (f"engine-{rng.randrange(servers)}", _message(rng))
-        for _ in range(EVENTS // EVENTS_IN_MESSAGE)
+        for _ in range(EVENTS // EVENTS_PER_MESSAGE)
     ]
     start = time.thread_time_ns()
     for name, message in messages:
@@ -192,9 +193,9 @@
     kinds = (CacheEventKind.STORED, CacheEventKind.STORED, CacheEventKind.EVICTED)
     events = tuple(
         CacheEvent(number, rng.choice(kinds), rng.getrandbits(64))
-        for number in range(EVENTS_IN_MESSAGE)
+        for number in range(EVENTS_PER_MESSAGE)
     )
-    return CacheEvents("engine#1", events, EVENTS_IN_MESSAGE, gap=False)
+    return CacheEvents("engine#1", events, EVENTS_PER_MESSAGE, gap=False)
 
 
 if __name__ == "__main__":
--- a/bench/placement_report.py
+++ b/bench/placement_report.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Spread:
-    """The least, the middle and the greatest of some values."""
+    """The minimum, median and maximum of some values."""
 
     least: float
     median: float
@@ -37,35 +37,40 @@
 
 
 class Comparison:
-    """All results, by case, and their ratios to the oracle's."""
+    """The results of all cases, with statistics and ratios over the seeds."""
 
     def __init__(self, results: Sequence[CaseResult]):
         self.results = {result.case: result for result in results}
         self.seeds = sorted({result.case.seed for result in results})
 
-    def settled(self, policy: str, workload: str, scenario: str) -> list[Figures]:
-        """Return the settled figures of each seed."""
+    def steady_figures(
+        self, policy: str, workload: str, scenario: str
+    ) -> list[Figures]:
+        """Return the figures of the steady state for each seed."""
         return [
-            self.results[Case(policy, workload, scenario, seed)].settled
+            self.results[Case(policy, workload, scenario, seed)].steady_state
             for seed in self.seeds
         ]
 
     def values(self, name: str, policy: str, workload: str, scenario: str) -> Spread:
-        """Return the spread of one figure."""
-        chosen = self.settled(policy, workload, scenario)
+        """Return the spread of a figure over the seeds."""
+        chosen = self.steady_figures(policy, workload, scenario)
         return spread([getattr(item, name) for item in chosen])
 
     def ratio(
         self, name: str, policy: str, base: str, workload: str, scenario: str
     ) -> Spread:
-        """Return the spread of a figure's ratio to another policy's, by seed."""
+        """Return the spread of a figure's ratio to that of policy `base`, by seed."""
         pairs = zip(
-            self.settled(policy, workload, scenario),
-            self.settled(base, workload, scenario),
+            self.steady_figures(policy, workload, scenario),
+            self.steady_figures(base, workload, scenario),
             strict=True,
         )
         return spread(
-            [getattr(one, name) / max(1e-9, getattr(two, name)) for one, two in pairs]
+            [
+                getattr(own, name) / max(1e-9, getattr(other, name))
+                for own, other in pairs
+            ]
         )
 
     def rows(self) -> list[dict[str, object]]:
@@ -92,7 +97,7 @@
 
 @dataclass(frozen=True)
 class Goal:
-    """A goal, the value reached and whether it is met."""
+    """A goal with the value reached and whether it is met."""
 
     workload: str
     scenario: str
@@ -103,45 +108,45 @@
 
 
 def goals(comparison: Comparison) -> list[Goal]:
-    """Compare the policy's medians with the goals set for it."""
-    found = []
+    """Return the goals for cassiaford's policy, compared with its medians."""
+    evaluated_goals = []
     for workload in WORKLOADS:
         for scenario in SCENARIOS:
-            found.extend(_goals_of(comparison, workload.name, scenario))
-    return found
+            evaluated_goals.extend(_goals_of(comparison, workload.name, scenario))
+    return evaluated_goals
 
 
 def _goals_of(comparison, workload, scenario):
-    place = (workload, scenario)
-    hits = comparison.ratio("hit_rate", OURS, ORACLE, *place)
-    tail = comparison.ratio("first_token_p99_s", OURS, ORACLE, *place)
-    worst = comparison.values("worst_customer", OURS, *place)
-    refused = comparison.values("refused", OURS, *place)
-    good_hits = hits.median >= HIT_RATE_GOAL
-    good_tail = tail.median <= FIRST_TOKEN_GOAL
-    good_worst = worst.median >= WORST_CUSTOMER_GOAL
+    group = (workload, scenario)
+    hits = comparison.ratio("hit_rate", OURS, ORACLE, *group)
+    tail = comparison.ratio("first_token_p99_s", OURS, ORACLE, *group)
+    worst = comparison.values("worst_customer", OURS, *group)
+    refused = comparison.values("refused", OURS, *group)
+    hits_met = hits.median >= HIT_RATE_GOAL
+    tail_met = tail.median <= FIRST_TOKEN_GOAL
+    worst_met = worst.median >= WORST_CUSTOMER_GOAL
     return [
-        Goal(*place, "hit rate / oracle", f">= {HIT_RATE_GOAL}", hits, good_hits),
-        Goal(*place, "TTFT p99 / oracle", f"<= {FIRST_TOKEN_GOAL}", tail, good_tail),
-        Goal(*place, "worst / mean", f">= {WORST_CUSTOMER_GOAL}", worst, good_worst),
-        Goal(*place, "refusals", "0", refused, refused.greatest == 0),
+        Goal(*group, "hit rate / oracle", f">= {HIT_RATE_GOAL}", hits, hits_met),
+        Goal(*group, "TTFT p99 / oracle", f"<= {FIRST_TOKEN_GOAL}", tail, tail_met),
+        Goal(*group, "worst / mean", f">= {WORST_CUSTOMER_GOAL}", worst, worst_met),
+        Goal(*group, "refusals", "0", refused, refused.greatest == 0),
     ]
 
 
 def print_table(comparison: Comparison) -> None:
-    """Print the median of each figure, with the ratio to the oracle."""
+    """Print the median of each figure, with ratios to the oracle."""
     print(
         f"{'workload':10}{'scenario':14}{'policy':16}{'hit rate':>9}{'/oracle':>8}"
         f"{'wasted':>8}{'p50 s':>8}{'p99 s':>8}{'/oracle':>8}{'worst':>7}{'refused':>8}"
         f"{'unanswered':>11}"
     )
     for row in comparison.rows():
-        print(_line(row))
+        print(_format_row(row))
 
 
-def print_goals(found: Sequence[Goal]) -> None:
-    """Print each goal with the value reached, median and range over seeds."""
-    for goal in found:
+def print_goals(evaluated_goals: Sequence[Goal]) -> None:
+    """Print each goal with the median and range reached over the seeds."""
+    for goal in evaluated_goals:
         verdict = "met" if goal.met else "MISSED"
         print(
             f"{goal.workload:10}{goal.scenario:14}{goal.name:20}{goal.bound:>8}"
@@ -149,7 +154,7 @@
         )
 
 
-def _line(row):
+def _format_row(row):
     def median(name):
         return row[name]["median"]
 
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,10 +1,10 @@
-"""Wrongful refusals and overspend of ways to share a customer's rate.
+"""Wrongful refusals and overspend of variants of sharing a customer's rate.
 
-Seven instances, callers spread unevenly, four fifths of the rate offered in
-virtual time, in fixed failures. A refusal is wrongful if one bucket with
-perfect knowledge admitted the request. Overspend is the most tokens by which
-any span exceeded burst + rate * span, measured at two and a half times the rate. Run as
-``python -m bench.rates --seed 1``.
+Seven instances with unevenly spread callers run in virtual time, with a fixed set
+of failures. Refusals are counted at four fifths of the rate; one is wrongful if a
+single bucket with perfect knowledge admitted the request. Overspend is the largest
+number of tokens by which any span exceeded burst + rate * span, at that load or at
+two and a half times the rate. Run as ``python -m bench.rates --seed 1``.
 """
 
 import argparse
@@ -15,18 +15,18 @@
 
 from bench.fleet_shares import MAX_CHARGE_WAIT_S, Fleet
 
-WEIGHTS = (50, 25, 10, 5, 5, 3, 2)
+INSTANCE_WEIGHTS = (50, 25, 10, 5, 5, 3, 2)
 WARM_UP_S = 15.0
 FAULT_AT_S = 20.0
 END_S = 60.0
-OVERLOAD = 2.5
-SEEDS = 2
+OVERLOAD_FACTOR = 2.5
+SEED_COUNT = 2
 RESULTS = pathlib.Path("bench-results")
 
 
 @dataclass(frozen=True)
-class Way:
-    """One way to share: its name and the arguments of the fleet."""
+class Variant:
+    """A variant of sharing: its name, the fleet's arguments, and the request size."""
 
     name: str
     owners: int = 3
@@ -36,22 +36,22 @@
     tokens: float = 400.0
 
 
-WAYS = (
-    Way("static split", owners=7, lending=False),
-    Way("expire unless renewed, 3 owners", ttl=10.0),
-    Way("held until gone, 2 owners", owners=2),
-    Way("held until gone, 3 owners"),
-    Way("held until gone, 7 owners", owners=7),
-    Way("3 owners, charges never wait", charge_wait_s=0.0),
-    Way("2 owners, large requests", owners=2, tokens=4000.0),
-    Way("3 owners, large requests", tokens=4000.0),
-    Way("7 owners, large requests", owners=7, tokens=4000.0),
+VARIANTS = (
+    Variant("static split", owners=7, lending=False),
+    Variant("expire unless renewed, 3 owners", ttl=10.0),
+    Variant("held until gone, 2 owners", owners=2),
+    Variant("held until gone, 3 owners"),
+    Variant("held until gone, 7 owners", owners=7),
+    Variant("3 owners, charges never wait", charge_wait_s=0.0),
+    Variant("2 owners, large requests", owners=2, tokens=4000.0),
+    Variant("3 owners, large requests", tokens=4000.0),
+    Variant("7 owners, large requests", owners=7, tokens=4000.0),
 )
 
 
 @dataclass(frozen=True)
 class Result:
-    """The figures of one way in one failure, over all seeds."""
+    """The figures of one variant in one failure, over all seeds."""
 
     way: str
     failure: str
@@ -62,46 +62,46 @@
 
 
 def no_failure(fleet):
-    """Leave the fleet alone."""
+    """Do nothing."""
 
 
 def crash(fleet):
-    """Crash the busiest instance, which comes back after three seconds."""
+    """Crash the busiest instance, which restarts after three seconds."""
     fleet.crash(fleet.nodes["entry-1"])
 
 
 def crash_for_good(fleet):
-    """Crash an owner of the customer for good."""
-    table = fleet.nodes["entry-1"].book.table
+    """Crash an owner of the customer's share without a restart."""
+    table = fleet.nodes["entry-1"].shares.table
     fleet.crash(fleet.nodes[table.owners("academy")[0]], restart=False)
 
 
 def pause(fleet):
-    """Stop an owner for fifteen seconds; the list drops it after ten."""
-    table = fleet.nodes["entry-1"].book.table
+    """Pause an owner for 15 s; the instance list drops it after ten."""
+    table = fleet.nodes["entry-1"].shares.table
     fleet.pause(fleet.nodes[table.owners("academy")[0]], 15.0)
 
 
 def outage(fleet):
-    """Take the key-value service away for 25 seconds."""
+    """Make the key-value service unavailable for 25 s."""
     fleet.service_down = True
     fleet.at(fleet.now + 25.0, lambda: setattr(fleet, "service_down", False))
 
 
 def outage_and_crash(fleet):
-    """Take the service away, and restart the busiest instance meanwhile."""
+    """Make the service unavailable and restart the busiest instance meanwhile."""
     outage(fleet)
     fleet.at(fleet.now + 12.0, lambda: crash(fleet))
 
 
 def cut(fleet):
-    """Cut two instances off from the others and the service for 20 s."""
-    fleet.cut = {"entry-2", "entry-3"}
-    fleet.at(fleet.now + 20.0, fleet.cut.clear)
+    """Partition two instances from the others and the service for 20 s."""
+    fleet.partitioned = {"entry-2", "entry-3"}
+    fleet.at(fleet.now + 20.0, fleet.partitioned.clear)
 
 
 def herd(fleet):
-    """Restart every instance at once."""
+    """Restart all instances at the same time."""
     for node in fleet.nodes.values():
         fleet.crash(node)
 
@@ -118,46 +118,50 @@
 )
 
 
-def run_one(way: Way, failure, seed: int, load: float) -> Fleet:
-    """Return the fleet after one run; its meter counts from the warm-up on."""
+def run_one(variant: Variant, failure, seed: int, load: float) -> Fleet:
+    """Return the fleet after one run; its meter counts requests after the warm-up."""
     fleet = Fleet(
         seed,
-        owners=way.owners,
-        lending=way.lending,
-        ttl=way.ttl,
-        charge_wait_s=way.charge_wait_s,
+        owners=variant.owners,
+        lending=variant.lending,
+        ttl=variant.ttl,
+        charge_wait_s=variant.charge_wait_s,
     )
-    fleet.offer_load(load, way.tokens, END_S, WEIGHTS)
+    fleet.offer_load(load, variant.tokens, END_S, INSTANCE_WEIGHTS)
     fleet.run(WARM_UP_S)
     meter = fleet.meter
-    meter.offered = meter.refused = meter.wrongful = fleet.messages = 0
+    meter.offered = meter.refused = meter.wrongful_refusals = fleet.messages = 0
     fleet.at(FAULT_AT_S, lambda: failure(fleet))
     fleet.run(END_S)
     return fleet
 
 
-def measure(way: Way, failure, seed: int) -> Result:
-    """Return the figures of one way in one failure."""
-    seeds = range(seed, seed + SEEDS)
-    usual = [run_one(way, failure, number, 0.8) for number in seeds]
-    busy = [run_one(way, failure, number, OVERLOAD) for number in seeds]
-    requests = sum(fleet.meter.offered for fleet in usual)
-    wrongful = sum(fleet.meter.wrongful for fleet in usual)
-    worst = min(fleet.meter.worst for fleet in usual + busy)
-    messages = sum(fleet.messages for fleet in usual)
+def measure(variant: Variant, failure, seed: int) -> Result:
+    """Return the figures of one variant in one failure."""
+    seeds = range(seed, seed + SEED_COUNT)
+    normal = [run_one(variant, failure, number, 0.8) for number in seeds]
+    overloaded = [
+        run_one(variant, failure, number, OVERLOAD_FACTOR) for number in seeds
+    ]
+    requests = sum(fleet.meter.offered for fleet in normal)
+    wrongful = sum(fleet.meter.wrongful_refusals for fleet in normal)
+    min_level = min(fleet.meter.min_level for fleet in normal + overloaded)
+    messages = sum(fleet.messages for fleet in normal)
     return Result(
-        way=way.name,
+        way=variant.name,
         failure=failure.__name__,
         requests=requests,
         wrongful_percent=round(100.0 * wrongful / requests, 2),
-        overspend_tokens=round(max(0.0, -worst), 1),
-        messages_per_s=round(messages / SEEDS / (END_S - WARM_UP_S), 1),
+        overspend_tokens=round(max(0.0, -min_level), 1),
+        messages_per_s=round(messages / SEED_COUNT / (END_S - WARM_UP_S), 1),
     )
 
 
 def run(seed: int) -> list[Result]:
-    """Return the results of every way in every failure."""
-    return [measure(way, failure, seed) for way in WAYS for failure in FAILURES]
+    """Return the results of every variant in every failure."""
+    return [
+        measure(variant, failure, seed) for variant in VARIANTS for failure in FAILURES
+    ]
 
 
 def main(argv: Sequence[str] | None = None) -> None:
--- a/bench/rates_slopes.py
+++ b/bench/rates_slopes.py
@@ -1,7 +1,7 @@
-"""What rate shares cost an instance, at three sizes of the fleet.
+"""The cost of rate shares for an instance, at three sizes of the fleet.
 
 Run as ``python -m bench.rates_slopes``. Sizes of state and messages are
-deterministic; the time to take in a new ledger depends on the machine.
+deterministic; the times to apply a new ledger and for a tick depend on the machine.
 """
 
 import json
@@ -44,35 +44,35 @@
     report_bytes: int
 
 
-def prepare(limits, holders) -> RateShares:
-    """Return a book that acts by the limits and a ledger of the holders."""
-    book = RateShares("entry-0", 1, 0.0)
-    book.configure(limits, 0.0)
-    book.apply_ledger(Ledger(1, holders), 0.0)
-    return book
+def create_shares(limits, holders) -> RateShares:
+    """Return rate shares configured with the limits and a ledger of the holders."""
+    rate_shares = RateShares("entry-0", 1, 0.0)
+    rate_shares.configure(limits, 0.0)
+    rate_shares.apply_ledger(Ledger(1, holders), 0.0)
+    return rate_shares
 
 
 def measure(instances: int, customers: int) -> Slope:
-    """Return the cost at one size."""
+    """Return the cost for a number of instances and of customers."""
     holders = tuple(Holder(f"entry-{n}", 1) for n in range(instances))
     limits = {f"customer-{n}": Limit(1e4, 2e4) for n in range(customers)}
     tracemalloc.start()
-    kept = prepare(limits, holders[:-1])
+    measured = create_shares(limits, holders[:-1])
     state_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
-    book = prepare(limits, holders[:-1])
-    started = time.perf_counter()
-    book.apply_ledger(Ledger(2, holders), 0.0)
-    adopt_s = time.perf_counter() - started
+    del measured
+    rate_shares = create_shares(limits, holders[:-1])
+    started_at = time.perf_counter()
+    rate_shares.apply_ledger(Ledger(2, holders), 0.0)
+    adopt_s = time.perf_counter() - started_at
     for name in limits:
-        if book.table.fraction(name, "entry-0"):
-            book.charge(name, 1.0, 0.1)
-    owned = len(book.shares)
-    book.awaits_growth = False
-    started = time.perf_counter()
-    book.tick(0.15)
-    tick_s = time.perf_counter() - started
+        if rate_shares.table.fraction(name, "entry-0"):
+            rate_shares.charge(name, 1.0, 0.1)
+    owned = len(rate_shares.shares)
+    rate_shares.awaits_growth = False
+    started_at = time.perf_counter()
+    rate_shares.tick(0.15)
+    tick_s = time.perf_counter() - started_at
     return Slope(
         instances=instances,
         customers=customers,
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,8 +1,8 @@
-"""What the relay of threads and the gateway add to a stream, beside direct calls.
+"""The delay that the threaded relay and the gateway add to a stream.
 
-Run as ``python -m bench.relay``. The engine, the relay and the callers are
-processes of their own; the same callers first call the engine directly and
-then through the relay and the gateway, one after the other in the same run.
+Run as ``python -m bench.relay``. The engine, the relay, the gateway and the callers
+run in separate processes. The same callers call the engine directly, through the
+relay and through the gateway, one after the other in the same run.
 """
 
 import argparse
@@ -22,15 +22,15 @@
 RESULTS = pathlib.Path("bench-results")
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 WARM_UP_STREAMS = 32
-WAYS = ("relay", "gateway")
-# The processor time is read over this part of a run, with every stream open.
+TARGETS = ("relay", "gateway")
+# Processor time is measured over this span of a run, when all streams are open.
 CPU_FROM_S = 1.0
 CPU_SPAN_S = 7.0
 
 
 @dataclass(frozen=True)
 class Run:
-    """One size of run: callers, streams of each, tokens of a stream."""
+    """The size of a run: concurrent streams, rounds of each caller, tokens a stream."""
 
     streams: int
     rounds: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """The figures of one run, times in milliseconds."""
+    """The figures of one run; times are in milliseconds."""
 
     way: str
     streams: int
@@ -58,8 +58,8 @@
     peak_mb: float | None = None
 
 
-def start(module, *arguments):
-    """Start a process that prints its port, and return both."""
+def start_process(module, *arguments):
+    """Start a process that prints its port; return the process and the port."""
     process = subprocess.Popen(
         [sys.executable, "-m", module, *arguments],
         stdin=subprocess.PIPE,
@@ -70,53 +70,53 @@
 
 
 def cpu_seconds(pid):
-    """Return the processor time that a process has used."""
+    """Return the processor time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text("ascii").rpartition(")")[2]
     user, system = fields.split()[11:13]
     return (int(user) + int(system)) / CLOCK_TICKS
 
 
 def peak_mb(pid):
-    """Return the most memory that a process has had, in MB."""
+    """Return the peak resident memory of a process in MB."""
     status = pathlib.Path(f"/proc/{pid}/status").read_text("ascii")
     (line,) = (line for line in status.splitlines() if line.startswith("VmHWM"))
     return round(int(line.split()[1]) / 1024, 1)
 
 
-def measure(way, run, port, seed, pid=None):
-    """Run callers against a port and return the figures."""
-    shares = []
-    watcher = threading.Thread(target=_watch, args=(pid, run, shares))
+def measure(target, run, port, seed, pid=None):
+    """Run callers against a port and return the figures of the run."""
+    cpu_percents = []
+    cpu_thread = threading.Thread(target=_measure_cpu, args=(pid, run, cpu_percents))
     if pid is not None:
-        watcher.start()
-    began = time.monotonic()
+        cpu_thread.start()
+    started_at = time.monotonic()
     measured = asyncio.run(
         run_streams(port, run.streams, run.rounds, run.tokens, run.ramp_s, seed)
     )
-    lasted = time.monotonic() - began
+    elapsed_s = time.monotonic() - started_at
     if pid is not None:
-        watcher.join()
+        cpu_thread.join()
     return Row(
-        way,
+        target,
         run.streams,
         measured.whole,
         measured.broken,
-        round(measured.tokens / lasted, 1),
+        round(measured.tokens / elapsed_s, 1),
         _ms(measured.first_token, 50),
         _ms(measured.first_token, 99),
         _ms(measured.delay, 50),
         _ms(measured.delay, 99),
-        shares[0] if shares else None,
+        cpu_percents[0] if cpu_percents else None,
         peak_mb(pid) if pid is not None else None,
     )
 
 
-def _watch(pid, run, shares):
+def _measure_cpu(pid, run, cpu_percents):
     time.sleep(run.ramp_s + CPU_FROM_S)
-    before, began = cpu_seconds(pid), time.monotonic()
+    before, started_at = cpu_seconds(pid), time.monotonic()
     time.sleep(CPU_SPAN_S)
-    used, lasted = cpu_seconds(pid) - before, time.monotonic() - began
-    shares.append(round(100 * used / lasted, 1))
+    used_s, elapsed_s = cpu_seconds(pid) - before, time.monotonic() - started_at
+    cpu_percents.append(round(100 * used_s / elapsed_s, 1))
 
 
 def _ms(histogram, percentile):
@@ -124,7 +124,7 @@
 
 
 def print_table(rows):
-    """Print the figures."""
+    """Print the figures as a table."""
     print("way     streams whole broken tokens/s | first token p50    p99 ms", end="")
     print(" | token delay p50    p99 ms | cpu % | peak MB")
     for row in rows:
@@ -139,33 +139,37 @@
 
 
 def goals(rows):
-    """Return each goal with the figure and whether it was met."""
+    """Return each goal with its figure and whether it was met."""
     by_run = {(row.way, row.streams): row for row in rows}
-    return [goal for way in WAYS for goal in _goals_of(way, by_run)]
+    return [goal for target in TARGETS for goal in _goals_of(target, by_run)]
 
 
-def _goals_of(way, by_run):
-    added = by_run[way, 50].first_token_p99 - by_run["direct", 50].first_token_p99
+def _goals_of(target, by_run):
+    added = by_run[target, 50].first_token_p99 - by_run["direct", 50].first_token_p99
     added = round(added, 3)
-    full = by_run[way, 400]
-    cpu, late = full.cpu_percent, full.delay_p99
+    full = by_run[target, 400]
+    cpu, token_delay = full.cpu_percent, full.delay_p99
     return (
-        (f"{way}: added first token p99 ms, 50 streams, under 3", added, added < 3),
-        (f"{way}: cpu %, 400 streams, under 40", cpu, cpu < 40),
-        (f"{way}: token delay p99 ms, 400 streams, under 15", late, late < 15),
-        (f"{way}: broken streams, none", full.broken, full.broken == 0),
+        (f"{target}: added first token p99 ms, 50 streams, under 3", added, added < 3),
+        (f"{target}: cpu %, 400 streams, under 40", cpu, cpu < 40),
+        (
+            f"{target}: token delay p99 ms, 400 streams, under 15",
+            token_delay,
+            token_delay < 15,
+        ),
+        (f"{target}: broken streams, none", full.broken, full.broken == 0),
     )
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Run every size, print the figures and write them down."""
+    """Run every size, print the figures and write them as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args(argv).seed
-    engine, engine_port = start("bench._stream_engine")
+    engine, engine_port = start_process("bench._stream_engine")
     address = f"127.0.0.1:{engine_port}"
-    relay, relay_port = start("bench._stream_relay", address)
-    gateway, gateway_port = start("bench._stream_gateway", address)
+    relay, relay_port = start_process("bench._stream_relay", address)
+    gateway, gateway_port = start_process("bench._stream_gateway", address)
     rows = []
     load_before = os.getloadavg()
     try:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measurements at several sizes."""
+"""Linear fits of measurements at several sizes."""
 
 import statistics
 from collections.abc import Sequence
@@ -17,8 +17,8 @@
 class Slope:
     """The line ``base + per_unit * size`` through measured points.
 
-    `worst_error` is the largest distance of a point from the line, as a share
-    of the largest value; a large one says that the cost is no straight line.
+    `worst_error` is the largest distance of a point from the line, as a fraction
+    of the largest value; if it is large, the cost does not grow linearly.
     """
 
     points: tuple[Point, ...]
@@ -38,9 +38,9 @@
 
 
 def fit(points: Sequence[Point]) -> Slope:
-    """Return the line of least squares through at least three points."""
+    """Return the least-squares line through at least three points."""
     if len(points) < 3:
-        raise ValueError("a slope needs at least three sizes")
+        raise ValueError("a linear fit needs at least three points")
     sizes = [point.size for point in points]
     values = [point.value for point in points]
     line = statistics.linear_regression(sizes, values)
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -1,4 +1,4 @@
-"""The Academy's and the Authority's workloads, drawn from a seed."""
+"""The Academy's and the Authority's workloads, generated from a seed."""
 
 import itertools
 import random
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request as it reaches an instance at a time in seconds."""
+    """A request with the instance that it reaches and its time in seconds."""
 
     time: float
     instance: int
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True)
 class TaskKind:
-    """One kind of request.
+    """A kind of request.
 
-    `part` is its part of the requests, `question_tokens` what follows the
-    shared prefix, `output_tokens` the length of the answer. `section_blocks`
-    0 means that a prompt has no section.
+    `weight` is its fraction of the requests, `question_tokens` the length of what
+    follows the shared prefix, `output_tokens` that of the response. Prompts have
+    no section if `section_blocks` is 0.
     """
 
     name: str
     service_class: str
-    part: float
+    weight: float
     document_blocks: int
     documents: int
     section_blocks: int
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """A mix of kinds at a rate, in requests a second, for some engines.
+    """A mix of request kinds at a rate in requests a second, for a number of engines.
 
-    `customer_parts` says how the requests are divided among the customers;
-    `skew` is the exponent of the Zipf law by which documents are chosen.
+    `customer_weights` divides the requests among the customers; `skew` is the
+    exponent of the Zipf distribution from which documents are chosen.
     """
 
     name: str
     engines: int
     rate: float
-    customer_parts: tuple[float, ...]
+    customer_weights: tuple[float, ...]
     skew: float
     kinds: tuple[TaskKind, ...]
     instances: int = 7
@@ -64,7 +64,7 @@
     ) -> Iterator[Arrival]:
         """Yield requests in the order of their times.
 
-        From `shift_at` on, other documents are the hot ones.
+        From `shift_at` on, other documents are the most frequent.
         """
         rng = random.Random(f"{self.name}:{seed}")
         now = rng.expovariate(self.rate)
@@ -76,24 +76,24 @@
             now += rng.expovariate(self.rate)
 
     def _arrival(self, rng, now, number, shifted):
-        customers = range(len(self.customer_parts))
-        customer = rng.choices(customers, self.customer_parts)[0]
-        kind = rng.choices(self.kinds, [kind.part for kind in self.kinds])[0]
+        customers = range(len(self.customer_weights))
+        customer = rng.choices(customers, self.customer_weights)[0]
+        kind = rng.choices(self.kinds, [kind.weight for kind in self.kinds])[0]
         document = _zipf(rng, kind.documents, self.skew)
         if shifted:
             document = (document + kind.documents // 2) % kind.documents
         section = rng.randrange(kind.sections) if kind.section_blocks else 0
         chain = _chain(customer, kind, document, section)
-        question = max(16, int(kind.question_tokens * rng.uniform(0.5, 1.5)))
-        own = _blocks(f"question:{number}", question // BLOCK_TOKENS)
-        shared = kind.document_blocks + kind.section_blocks
+        question_tokens = max(16, int(kind.question_tokens * rng.uniform(0.5, 1.5)))
+        question_blocks = _blocks(f"question:{number}", question_tokens // BLOCK_TOKENS)
+        shared_blocks = kind.document_blocks + kind.section_blocks
         return Arrival(
             now,
             rng.randrange(self.instances),
             f"customer-{customer + 1}",
             kind.service_class,
-            chain + own,
-            shared * BLOCK_TOKENS + question,
+            chain + question_blocks,
+            shared_blocks * BLOCK_TOKENS + question_tokens,
             max(1, int(kind.output_tokens * rng.uniform(0.5, 1.5))),
         )
 
@@ -102,7 +102,7 @@
     name="academy",
     engines=10,
     rate=25.0,
-    customer_parts=(0.4, 0.25, 0.2, 0.1, 0.05),
+    customer_weights=(0.4, 0.25, 0.2, 0.1, 0.05),
     skew=1.0,
     kinds=(
         TaskKind("check", "interactive", 0.3, 16, 8, 6, 10, 200, 4),
@@ -114,7 +114,7 @@
     name="authority",
     engines=5,
     rate=12.0,
-    customer_parts=(0.4, 0.25, 0.2, 0.1, 0.05),
+    customer_weights=(0.4, 0.25, 0.2, 0.1, 0.05),
     skew=0.8,
     kinds=(
         TaskKind("digest", "batch", 0.08, 40, 6, 10, 6, 600, 500),
@@ -132,7 +132,7 @@
 
 
 def _chain(customer, kind, document, section) -> tuple[int, ...]:
-    # Checks and markings share their binders: the kind is not part of the key.
+    # Checks and markings share documents, so the scope does not contain the kind.
     scope = f"{customer}:{kind.document_blocks}:{document}"
     blocks = _blocks(scope, kind.document_blocks)
     return blocks + _blocks(f"{scope}:{section}", kind.section_blocks)
--- a/tests/test_placement_bounds.py
+++ b/tests/test_placement_bounds.py
@@ -19,10 +19,10 @@
 
 @cache
 def pairs(workload, scenario):
-    """Return the settled figures of the policy and of the oracle, by seed."""
+    """Return the steady-state figures of the policy and of the oracle, by seed."""
     return [
         [
-            run_case(Case(policy, workload, scenario, seed)).settled
+            run_case(Case(policy, workload, scenario, seed)).steady_state
             for policy in (OURS, ORACLE)
         ]
         for seed in SEEDS
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -51,7 +51,7 @@
 
     def crash(self):
         node = self.node()
-        if node.book is not None:
+        if node.shares is not None:
             self.fleet.crash(node, restart=self.rng.random() < 0.8)
 
     def pause(self):
@@ -62,24 +62,24 @@
 
     def cut(self):
         size = self.rng.choice([0, 0, 2, 3])
-        self.fleet.cut = set(self.rng.sample(sorted(self.fleet.nodes), size))
+        self.fleet.partitioned = set(self.rng.sample(sorted(self.fleet.nodes), size))
 
     def restart_all(self):
         for node in self.fleet.nodes.values():
-            if node.book is not None:
+            if node.shares is not None:
                 self.fleet.crash(node)
 
 
 class FleetBoundTest(unittest.TestCase):
     def run_fleet(self, seed):
         if seed % 2:
-            network = Network(loss=0.05, doubling=0.1, jitter_s=0.004)
+            network = Network(loss=0.05, duplication=0.1, jitter_s=0.004)
             fleet = Fleet(seed, network=network)
             fleet.offer_load(3.0, 800.0, SPAN_S, WEIGHTS)
             return fleet
         # The burst is worth twenty seconds of the rate, so that budget lost in
         # failures does not hide budget that is created by mistake.
-        network = Network(loss=0.02, doubling=0.1, jitter_s=0.004)
+        network = Network(loss=0.02, duplication=0.1, jitter_s=0.004)
         fleet = Fleet(seed, network=network, limit=Limit(2000.0, 40_000.0))
         fleet.offer_load(5.0, 800.0, SPAN_S, WEIGHTS)
         return fleet
@@ -90,7 +90,7 @@
                 fleet = self.run_fleet(seed)
                 RandomFailures(fleet, seed)
                 fleet.run(SPAN_S)
-                self.assertGreaterEqual(fleet.meter.worst, -ROUNDING_ERROR)
+                self.assertGreaterEqual(fleet.meter.min_level, -ROUNDING_ERROR)
 
     def test_a_resumed_holder_that_was_replaced_uses_nothing(self):
         for seed in seeds(SCHEDULES):
@@ -99,15 +99,15 @@
                 for node in list(fleet.nodes.values())[:3]:
                     fleet.at(5.0, functools.partial(fleet.pause, node, 20.0))
                 fleet.run(SPAN_S)
-                self.assertGreaterEqual(fleet.meter.worst, -ROUNDING_ERROR)
+                self.assertGreaterEqual(fleet.meter.min_level, -ROUNDING_ERROR)
 
     def test_without_failures_the_whole_rate_is_usable(self):
         fleet = Fleet(1)
         fleet.offer_load(0.8, 400.0, 60.0, WEIGHTS)
         fleet.run(15.0)
-        wrongful = fleet.meter.wrongful
+        wrongful = fleet.meter.wrongful_refusals
         fleet.run(60.0)
-        self.assertLessEqual(fleet.meter.wrongful - wrongful, 5)
+        self.assertLessEqual(fleet.meter.wrongful_refusals - wrongful, 5)
 
 
 class RateSharesTest(unittest.TestCase):
