--- a/src/cassiaford/fleet/_claim_forwarding.py
+++ b/src/cassiaford/fleet/_claim_forwarding.py
@@ -39,7 +39,7 @@
 
 
 class ClaimHost(ABC):
-    """The operations that forwarding needs on the own instance's claims."""
+    """The operations on this instance's claims that forwarding uses."""
 
     @abstractmethod
     def submit(
@@ -57,7 +57,7 @@
 
     @abstractmethod
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Record that an incarnation of an instance has ended."""
+        """Record that an incarnation and all earlier ones have ended."""
 
 
 @dataclass
--- a/src/cassiaford/fleet/_claim_shards.py
+++ b/src/cassiaford/fleet/_claim_shards.py
@@ -33,7 +33,7 @@
 SEGMENT_PREFIX = "sealed-claims/"
 # A request waits at most this long for the answer to its claim.
 CLAIM_TIMEOUT_S = 2.0
-# After a failed call to the service, claims are refused at once for this long.
+# After a failed call to the service, claims are refused immediately for this long.
 OUTAGE_RETRY_S = 0.5
 
 
@@ -66,7 +66,7 @@
 
 
 class ShardWorker:
-    """Reads and writes one shard on a thread, and answers those that wait."""
+    """Reads and writes one shard on a thread, and replies to its claims."""
 
     def __init__(
         self,
@@ -148,7 +148,7 @@
             self.condition.notify_all()
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Record that an incarnation of an instance has ended."""
+        """Record that an incarnation and all earlier ones have ended."""
         with self.condition:
             self.claims.mark_gone(instance, incarnation)
 
@@ -204,7 +204,7 @@
         return bool(self.claims.pending) or self.stopping
 
     def _perform(self, step):
-        """Perform one step; return whether a write lost to another instance's."""
+        """Perform one step; return whether another instance wrote the shard first."""
         match step:
             case ReadShard():
                 self._on_shard_entry(self.key_value.get(_shard_key(self.name)))
--- a/src/cassiaford/fleet/_claims.py
+++ b/src/cassiaford/fleet/_claims.py
@@ -42,7 +42,7 @@
 
     @abstractmethod
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Record that an incarnation of an instance has ended."""
+        """Record that an incarnation and all earlier ones have ended."""
 
 
 class ClaimRegistry(ClaimService):
@@ -137,7 +137,7 @@
             self.journal.record(Event.CLAIM_OUTCOME_LOST, subject)
 
     def mark_gone(self, instance: str, incarnation: int) -> None:
-        """Record that an incarnation of an instance has ended."""
+        """Record that an incarnation and all earlier ones have ended."""
         with self._lock:
             self._gone_incarnations[instance] = max(
                 incarnation, self._gone_incarnations.get(instance, 0)
--- a/src/cassiaford/fleet/_configuration.py
+++ b/src/cassiaford/fleet/_configuration.py
@@ -131,7 +131,7 @@
         """Log that the configuration became stale, or fresh again."""
         fresh = self.is_fresh(now)
         if self._was_fresh is None and not fresh:
-            # Nothing was loaded yet.
+            # Nothing has been loaded yet.
             return
         if self._was_fresh not in (None, fresh):
             event = Event.CONFIGURATION_FRESH if fresh else Event.CONFIGURATION_STALE
--- a/src/cassiaford/fleet/_exchange.py
+++ b/src/cassiaford/fleet/_exchange.py
@@ -20,7 +20,7 @@
 
 
 class ConfigurationExchange:
-    """Notifies peers of revisions, fetches revisions and serves such requests.
+    """Sends notices of revisions to peers, fetches revisions and serves them.
 
     `entries_after` returns the revisions after a number, or None if they are no
     longer available; the whole configuration that `current` returns is sent then.
--- a/src/cassiaford/fleet/_fleet.py
+++ b/src/cassiaford/fleet/_fleet.py
@@ -120,7 +120,7 @@
 
     `instance_list` has a method ``fetch()`` that returns a sequence of
     `InstanceRecord`; `clock` returns monotonic seconds. The peer sockets are
-    bound at once, so that messages can be sent before `Fleet.start`.
+    bound immediately, so that messages can be sent before `Fleet.start`.
     """
     secret = settings.peers.secret.get_secret_value().encode()
     identity = Identity(settings.instance, incarnation, secret)
--- a/src/cassiaford/fleet/_log.py
+++ b/src/cassiaford/fleet/_log.py
@@ -55,7 +55,7 @@
 
 
 class LostRaceError(ConfigurationLogError):
-    """Another author wrote the revision first; `winner` is what it wrote."""
+    """Another author wrote this revision number first; `winner` is its revision."""
 
     def __init__(self, winner: Revision):
         super().__init__(f"revision {winner.number} was written by {winner.author}")
@@ -149,8 +149,8 @@
     def watch(self, number: int, timeout_s: float) -> Revision | None:
         """Return a revision once it is written, or None after the timeout.
 
-        Raises `EntryError` if the revision is covered by the snapshot, which
-        the caller must load then.
+        Raises `EntryError` if the snapshot covers the revision; the snapshot
+        must be loaded then.
         """
         entry = self.key_value.watch(log_key(number), 0, timeout_s)
         if entry.value is None:
--- a/src/cassiaford/fleet/_orders.py
+++ b/src/cassiaford/fleet/_orders.py
@@ -54,8 +54,10 @@
 class OrderRunner(ServedVersions, EngineObserver):
     """Runs an `Orderer` against the key-value service and the engines.
 
-    As one in the chain of observers, it sees which models engines have loaded.
-    It makes no calls while every engine matches the configuration.
+    It is part of the chain of observers, from which it receives the models that
+    each engine has loaded. After its first read of the table, it calls the
+    service and the engines only while orders are pending or an engine differs
+    from the configuration.
     """
 
     def __init__(
--- a/src/cassiaford/fleet/_rates.py
+++ b/src/cassiaford/fleet/_rates.py
@@ -136,7 +136,7 @@
                 thread.join(RETRY_S)
 
     def _may_receive(self, customer, tokens):
-        """Request tokens from other instances; return whether some may come."""
+        """Request tokens from other instances; return whether some may arrive."""
         now = self.clock()
         if not self.rate_shares.awaits_reply(customer, now):
             self._send(self.rate_shares.request_loans(customer, tokens, now))
