--- a/src/cassiaford/pipeline/_caller.py
+++ b/src/cassiaford/pipeline/_caller.py
@@ -53,11 +53,11 @@
 
     def eof_received(self) -> None:
         """Treat the end of input as a disconnection."""
-        self._left()
+        self._report_disconnect()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the loss of the connection to the listener."""
-        self._left()
+        self._report_disconnect()
         self.listener.on_caller_closed()
 
     def pause_writing(self) -> None:
@@ -127,7 +127,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def _left(self):
+    def _report_disconnect(self):
         if not self.finished:
             self.finished = True
             self.listener.on_caller_left()
--- a/src/cassiaford/pipeline/_dispatch.py
+++ b/src/cassiaford/pipeline/_dispatch.py
@@ -301,8 +301,8 @@
         """Wait for a job that can be sent now; return None when stopping."""
         while self.running:
             now = self.clock()
-            for late, refusal in self.waiting.expire(now):
-                self.relay.refuse(late, refusal)
+            for expired, refusal in self.waiting.expire(now):
+                self.relay.refuse(expired, refusal)
             job = self.waiting.take(now)
             if job is not None:
                 return job
@@ -319,7 +319,7 @@
         if self.clock() > job.request.start_by:
             self.relay.attempt_failed(job, Failure.START_DEADLINE_PASSED)
             return
-        # It may have crashed another server while it waited in the queue.
+        # An identical request may have crashed servers while this one was queued.
         refusal = self._refuse_suspect(job.request)
         if refusal is not None:
             self.relay.end(job, refusal)
@@ -375,7 +375,7 @@
 
     `configuration` returns the current configuration, and `credential` is the
     bearer token that is sent to backend servers. `queue` orders the waiting
-    requests, by arrival if none is given. `versions` tells which engines serve
+    requests, by arrival if none is given. `versions` reports which engines serve
     a model; without it, all of the model's engines are assumed to.
     """
     if queue is None:
--- a/src/cassiaford/pipeline/_events.py
+++ b/src/cassiaford/pipeline/_events.py
@@ -9,7 +9,7 @@
 
 from cassiaford.pipeline._messages import Usage
 
-_DONE_WITHIN = len(b"data: [DONE]\n\n")
+_DONE_EVENT_BYTES = len(b"data: [DONE]\n\n")
 _FINISHED = re.compile(rb'"finish_reason"\s*:\s*"')
 _USAGE = re.compile(rb'"usage"\s*:\s*\{')
 _ERROR = re.compile(rb'^data:\s*\{\s*"error"\s*:')
@@ -41,7 +41,7 @@
     """Return the metadata of an event of a model's stream."""
     if not _has_data(event):
         return _COMMENT
-    if b"[DONE]" in event[:_DONE_WITHIN]:
+    if b"[DONE]" in event[:_DONE_EVENT_BYTES]:
         return _DONE
     finished = _FINISHED.search(event) is not None
     if b'"usage"' in event and _USAGE.search(event):
--- a/src/cassiaford/pipeline/_exchange.py
+++ b/src/cassiaford/pipeline/_exchange.py
@@ -211,7 +211,7 @@
             self._retry_or_refuse(failure, retry_after_s)
 
     def on_parse_error(self, error: httptools.HttpParserError) -> None:
-        """Record an exception that one of our parser callbacks raised."""
+        """Record an unexpected exception that a callback of the parser raised."""
         cause = error.__context__
         if cause is not None and not isinstance(cause, EventStreamError):
             self.owner.record_fault(cause)
--- a/src/cassiaford/pipeline/_finalize.py
+++ b/src/cassiaford/pipeline/_finalize.py
@@ -85,9 +85,9 @@
             (DurationMetric.PLACEMENT_TIME, timings.placement_s),
             (DurationMetric.LONGEST_GAP, timings.longest_gap_s),
         )
-        for quantity, seconds in durations:
-            if seconds is not None:
-                self.metrics.observe(quantity, seconds, label)
+        for metric, duration_s in durations:
+            if duration_s is not None:
+                self.metrics.observe(metric, duration_s, label)
         if outcome.usage is not None:
             usage = outcome.usage
             self.metrics.count(Counter.PROMPT_TOKENS, amount=usage.prompt_tokens)
--- a/src/cassiaford/pipeline/_forward.py
+++ b/src/cassiaford/pipeline/_forward.py
@@ -82,7 +82,7 @@
 
 
 def _detach_socket(connection):
-    """Detach the socket from its connection, which would close it when collected."""
+    """Detach the socket, which its connection would close at garbage collection."""
     sock = connection.sock
     connection.sock = None
     sock.setblocking(False)
--- a/src/cassiaford/pipeline/_owner.py
+++ b/src/cassiaford/pipeline/_owner.py
@@ -28,7 +28,10 @@
 
     @abstractmethod
     def release_server(self, job: Job, answered: bool) -> None:
-        """Record that a job no longer runs on its server."""
+        """Record that a job no longer runs on its server.
+
+        `answered` is whether the server sent a complete response.
+        """
 
     @abstractmethod
     def back_off_server(self, job: Job, wait_s: float) -> None:
--- a/src/cassiaford/pipeline/_recovery.py
+++ b/src/cassiaford/pipeline/_recovery.py
@@ -1,4 +1,4 @@
-"""Whether another attempt can continue a partly sent response."""
+"""Decisions on whether another attempt can continue a partly sent response."""
 
 from cassiaford.pipeline._body import BodyRelay, EventStreamRelay
 from cassiaford.pipeline._job import Job
--- a/src/cassiaford/pipeline/_refusals.py
+++ b/src/cassiaford/pipeline/_refusals.py
@@ -1,4 +1,4 @@
-"""The refusals that the dispatcher sends, with the time to retry after."""
+"""The refusals that the dispatcher sends, with the delay before a retry."""
 
 from cassiaford.pipeline._job import Job
 from cassiaford.policy import Failure
--- a/src/cassiaford/pipeline/_response_connection.py
+++ b/src/cassiaford/pipeline/_response_connection.py
@@ -25,7 +25,7 @@
 
 
 class ResponseConnection(asyncio.Protocol, ResponseListener):
-    """Reads one response; calls its listener no more once it is closed."""
+    """Reads one response; no longer calls its listener once it is closed."""
 
     def __init__(
         self, listener: AttemptListener, method: str, clock: Callable[[], float]
@@ -87,7 +87,7 @@
         """Let the transport close; `connection_lost` follows."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Complete the response, or report the failure that the loss amounts to."""
+        """Complete the response, or report the loss as a failure."""
         if self.closed:
             return
         self.parser.feed_eof()
@@ -110,7 +110,7 @@
             self.listener.on_response_body(data)
 
     def on_response_end(self) -> None:
-        """Tell the listener that the response is complete."""
+        """Notify the listener that the response is complete."""
         if not self.closed:
             self.listener.on_response_end()
 
--- a/src/cassiaford/pipeline/_statuses.py
+++ b/src/cassiaford/pipeline/_statuses.py
@@ -8,7 +8,7 @@
 OK = 200
 TOO_MANY_REQUESTS = 429
 SERVICE_UNAVAILABLE = 503
-# Statuses that say that something behind the server failed.
+# Statuses by which a server reports that something behind it failed.
 UNCERTAIN_STATUSES = frozenset({502, 503, 504})
 
 
@@ -36,12 +36,12 @@
 
 
 def retry_after(head: ResponseHead) -> float | None:
-    """Return the seconds in a ``Retry-After`` header, or None without them."""
+    """Return the seconds in a ``Retry-After`` header, or None if it has none."""
     text = head.header("retry-after")
     return float(text) if text.isdecimal() else None
 
 
 def is_mismatched(head: ResponseHead, request_id: str) -> bool:
     """Return whether a response carries the id of another request."""
-    named = head.header("x-request-id")
-    return bool(named) and named != request_id
+    returned_id = head.header("x-request-id")
+    return bool(returned_id) and returned_id != request_id
--- a/src/cassiaford/pipeline/_suspects.py
+++ b/src/cassiaford/pipeline/_suspects.py
@@ -7,7 +7,7 @@
 
 
 class SuspectPolicy(ABC):
-    """Tracks the requests that were running on servers when these crashed."""
+    """Tracks the requests that were running on a server when it crashed."""
 
     @abstractmethod
     def refusal(self, request: AdmittedRequest) -> Refusal | None:
