--- a/src/cassiaford/instance/_crashes.py
+++ b/src/cassiaford/instance/_crashes.py
@@ -1,4 +1,4 @@
-"""Reports to the fleet of the requests that were running when servers crashed."""
+"""Reporting to the fleet which requests were running when servers crashed."""
 
 import threading
 
@@ -92,7 +92,7 @@
         self.observer.observe_events(server, events)
 
     def remove_server(self, server: str) -> None:
-        """Forward that a server left or restarted."""
+        """Forward the removal of a server that left or restarted."""
         self.observer.remove_server(server)
 
     def _suspect_fingerprint(self, request):
--- a/src/cassiaford/instance/_http.py
+++ b/src/cassiaford/instance/_http.py
@@ -163,7 +163,7 @@
             self.finish_receiving()
 
     def finish_receiving(self):
-        """Record that the request was received completely."""
+        """Exempt this connection from the receive timeout until its next request."""
         self.server.receiving_connections.discard(self)
 
     def stop_receiving(self):
--- a/src/cassiaford/instance/_instance.py
+++ b/src/cassiaford/instance/_instance.py
@@ -195,7 +195,7 @@
             self.journal,
             settings.instance,
         )
-        self.fleet.configuration.on_change(self._configuration_changed)
+        self.fleet.configuration.on_change(self._on_configuration_changed)
         self.fleet.on_departure(self.claims.mark_gone)
         self.fleet.on_departure(self.limiter.mark_gone)
 
@@ -264,7 +264,7 @@
     def _is_fresh(self):
         return self.fleet.configuration.is_fresh(time.monotonic())
 
-    def _configuration_changed(self, old, new):
+    def _on_configuration_changed(self, old, new):
         self.journal.revision = new.revision
         self.limiter.configure(new)
 
