--- a/src/cassiaford/_event_splitter.py
+++ b/src/cassiaford/_event_splitter.py
@@ -32,7 +32,7 @@
         self.partial = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events completed by some data, each with its empty line."""
+        """Return the events that `data` completes, each with its empty line."""
         if self.partial:
             data = self.partial + data
         elif _is_one_event(data):
--- a/src/cassiaford/_json_calls.py
+++ b/src/cassiaford/_json_calls.py
@@ -1,4 +1,4 @@
-"""A client for JSON calls over HTTP whose errors tell if a call may have arrived.
+"""A client for JSON calls over HTTP whose errors say if a call may have arrived.
 
 The clients of the key-value service and of the engines share this module, so that
 one place distinguishes a call that was not sent from a lost response.
@@ -12,7 +12,7 @@
 
 # Each address has a pool; beyond this number the least recently used is closed.
 MAX_POOLS = 1024
-POOL_SIZE = 16
+MAX_IDLE_CONNECTIONS_PER_POOL = 16
 
 
 class CallError(Exception):
@@ -39,7 +39,7 @@
     body: bytes = field(repr=False)
 
     def json(self) -> object:
-        """Return the decoded body; raise `AnswerLostError` if it is broken."""
+        """Return the decoded body; raise `ResponseLostError` if it is broken."""
         try:
             return json.loads(self.body)
         except ValueError as error:
@@ -49,14 +49,14 @@
 class JsonClient:
     """Sends JSON calls over pooled connections; thread-safe.
 
-    It never retries, because only its user can tell whether a call may be
-    repeated.
+    It never retries, because only the code that makes a call knows whether the
+    call may be repeated.
     """
 
     def __init__(self, timeout_s: float):
         self.timeout_s = timeout_s
         self.pools = urllib3.PoolManager(
-            num_pools=MAX_POOLS, maxsize=POOL_SIZE, retries=False
+            num_pools=MAX_POOLS, maxsize=MAX_IDLE_CONNECTIONS_PER_POOL, retries=False
         )
 
     def call(
@@ -70,7 +70,7 @@
         """Send one call and return its response, whatever its status.
 
         `wait_s` is added to the timeout, for calls that wait at the server.
-        Raises `NotSentError` or `AnswerLostError`.
+        Raises `NotSentError` or `ResponseLostError`.
         """
         try:
             response = self.pools.request(
