--- a/src/cassiaford/logs/_output.py
+++ b/src/cassiaford/logs/_output.py
@@ -42,7 +42,7 @@
 
 
 def configure_logging(line_format: str, level: str, stream=None) -> None:
-    """Send log lines of at least a level to a stream, or to standard error."""
+    """Write log lines at or above a level to a stream, by default standard error."""
     # absl warns if a process logs before its absl flags are parsed; this program
     # has no such flags.
     flags.FLAGS.mark_as_parsed()
