--- a/src/cassiaford/keyvalue/_http.py
+++ b/src/cassiaford/keyvalue/_http.py
@@ -103,8 +103,8 @@
             _check_status(response)
             return _decode(decode, response)
         except CallError as error:
-            kind = OutcomeUnknownError if error.sent else UnavailableError
-            raise kind(str(error)) from error
+            error_type = OutcomeUnknownError if error.sent else UnavailableError
+            raise error_type(str(error)) from error
 
 
 class HttpInstanceList(InstanceList):
@@ -139,7 +139,7 @@
 
 
 def _check_status(response):
-    """Raise unless the call succeeded.
+    """Raise an error unless the call succeeded.
 
     The service responds with 503 or a 4xx status only if the call had no effect;
     after any other failure a write may have taken effect.
