--- a/src/cassiaford/timeline/_log_lines.py
+++ b/src/cassiaford/timeline/_log_lines.py
@@ -17,6 +17,7 @@
 
 _MESSAGE = re.compile(r"CF(\d+) (.*)")
 _SUBJECT_FIELDS = ("request_id", "customer", "server")
+# The detail that identifies an occurrence of each fleet-wide event, by number.
 _FLEET_WIDE_EVENTS = {
     Event.REVISION_IN_FORCE.number: "configuration",
     Event.VERSION_NAMED.number: "version",
@@ -74,13 +75,13 @@
             value = record.details.get(name, str(record.revision))
             times_ms = times_by_event.setdefault((record.number, value), {})
             times_ms.setdefault(record.instance, record.wall_ms)
-    offsets: dict[str, list[float]] = {}
+    offsets_ms: dict[str, list[float]] = {}
     for times_ms in times_by_event.values():
         if len(times_ms) > 1:
             median_ms = statistics.median(times_ms.values())
             for instance, wall_ms in times_ms.items():
-                offsets.setdefault(instance, []).append(wall_ms - median_ms)
-    return {name: round(statistics.median(d)) for name, d in offsets.items()}
+                offsets_ms.setdefault(instance, []).append(wall_ms - median_ms)
+    return {name: round(statistics.median(ms)) for name, ms in offsets_ms.items()}
 
 
 def read_log_lines(lines: Iterable[str]) -> list[GatheredRecord]:
@@ -89,8 +90,8 @@
     Records of one instance with equal times keep the order of their lines.
     """
     records = [record for line in lines if (record := parse_log_line(line))]
-    offsets = clock_offsets(records)
+    offsets_ms = clock_offsets(records)
     aligned = [
-        replace(r, wall_ms=r.wall_ms - offsets.get(r.instance, 0)) for r in records
+        replace(r, wall_ms=r.wall_ms - offsets_ms.get(r.instance, 0)) for r in records
     ]
     return sorted(aligned, key=lambda record: record.wall_ms)
