--- a/src/cassiaford/cli/_http.py
+++ b/src/cassiaford/cli/_http.py
@@ -71,7 +71,10 @@
 
 
 def report_unreachable(responses: Iterable[InstanceResponse]) -> None:
-    """Print the instances without a response; if any, exit as unavailable."""
+    """Print the errors of instances without a document; exit if there are any.
+
+    The exit code is then `ExitCode.UNAVAILABLE`.
+    """
     unreachable = [response for response in responses if response.error]
     for response in unreachable:
         typer.echo(f"{response.instance}: {response.error}", err=True)
