--- a/src/cassiaford/gateway/policy/_engine_placer.py
+++ b/src/cassiaford/gateway/policy/_engine_placer.py
@@ -1,10 +1,10 @@
 """Placement on model engines, by shared prefix and by the fleet's queued work.
 
 Prompts share prefixes of several lengths. The shortest one that covers most of
-the shared tokens is the placement prefix: instances tell each other on which
-engines they place it, and send its prompts to those engines again. A prefix
-that no engine is known to cache goes where rendezvous hashing and the engines'
-load point, which is the same engine for all instances. Each engine has a
+the shared tokens is the placement prefix: instances report to each other on
+which engines they place it, and send its prompts to those engines again. A
+prefix that no engine is known to cache is placed by rendezvous hashing and the
+engines' load, which gives the same engine on all instances. Each engine has a
 virtual clock of prefill work that any instance's placement advances, so all
 instances see that a home is busy before it rejects requests.
 """
--- a/src/cassiaford/gateway/policy/_fleet_rates.py
+++ b/src/cassiaford/gateway/policy/_fleet_rates.py
@@ -13,17 +13,18 @@
 # A peer without a report for this long, which is three lost reports, is
 # assumed to spend its share.
 PEER_SILENCE_TIMEOUT_S = 0.6
-# The window in which a customer's spending is bounded, unless settings say so.
+# The window in which a customer's spending is bounded, if settings give no other.
 DEFAULT_WINDOW_S = 8.0
-# Fraction of the burst that may be spent immediately. The rest is added to the
-# rate over the window, since a window may hold the whole burst and the rate.
+# Fraction of the burst that may be spent immediately. The rest is spread over the
+# window and added to the rate, since a window allows the whole burst and the rate.
 IMMEDIATE_BURST_FRACTION = 0.5
 # Fraction of the burst that an instance starts with, before peers report their
 # spending: a fleet that restarts as a whole must not grant a second burst.
 INITIAL_LEVEL_FRACTION = 0.1
 
-# Requests of at most the first fraction of the bucket are refused only at a
-# debt of the second one: a booking is worth more than the tokens it takes.
+# A request of at most `SMALL_REQUEST_FRACTION` of the bucket's burst is refused
+# only once the debt reaches `SMALL_REQUEST_DEBT_FRACTION` of it: a small request
+# such as a booking is worth more than the tokens that it takes.
 SMALL_REQUEST_FRACTION = 0.02
 SMALL_REQUEST_DEBT_FRACTION = 0.4
 # Callers wait only for a part of their deadline and would not retry later.
@@ -40,10 +41,10 @@
     def bucket_limit(self, window_s: float) -> "Limit":
         """Return the limit of a bucket that allows this limit in every window.
 
-        A window may hold the burst and what the rate adds in that time. A
+        The limit allows the burst, and what the rate adds, in each window. A
         bucket that starts full and fills at the rate allows this only once;
-        after that, a window holds hardly more than the rate. With a part of
-        the burst spread over the window, every window may hold all of it.
+        after that, little more than the rate can be spent in a window. With a
+        part of the burst spread over the window, every window allows all of it.
 
         Examples
         --------
@@ -89,13 +90,13 @@
         self.refunded += tokens
 
     def update_from_peer(self, peer, incarnation, spent):
-        known, before = self.peer_spent.get(peer, (None, 0.0))
-        if known is None:
+        known_incarnation, before = self.peer_spent.get(peer, (None, 0.0))
+        if known_incarnation is None:
             # It is unknown when the spending before the first report occurred.
             before = spent
-        elif known != incarnation:
+        elif known_incarnation != incarnation:
             before = 0.0
-        if known == incarnation and spent < before:
+        if known_incarnation == incarnation and spent < before:
             return
         self.peer_spent[peer] = (incarnation, spent)
         reserved = self.reserved.pop(peer, 0.0)
@@ -158,7 +159,7 @@
         self.last_report_at[peer] = now
 
     def charge(self, customer: str, tokens: float, now: float) -> bool:
-        """Take tokens if the fleet has any; return whether it does.
+        """Take tokens if the fleet has any left; return whether it had.
 
         A large request may leave a debt, so that it has the same chance as a
         small one where a customer asks for more than its rate.
--- a/src/cassiaford/gateway/policy/_generation.py
+++ b/src/cassiaford/gateway/policy/_generation.py
@@ -19,8 +19,8 @@
     """A request for tokens with the data that placement needs.
 
     `shared_prefixes` are ordered from the shortest to the longest; their keys
-    tell apart the customers and models that do not share. The first token
-    should come within `target_s`.
+    differ between customers and between models that share no prefixes. The
+    first token should come within `target_s`.
     """
 
     request_id: str
--- a/src/cassiaford/gateway/policy/_late_requests.py
+++ b/src/cassiaford/gateway/policy/_late_requests.py
@@ -3,15 +3,15 @@
 An engine prefills prompts in the order in which it receives them. Once its
 queue takes longer than callers want to wait, every request is late, although
 the engine serves as many as before. A request that will be late anyway loses
-nothing by letting those go first that can still be in time. So it waits at its
+nothing if those that can still be in time go first. So it waits at its
 instance until an engine's queue is short, as long as all waiting prompts can
 still be prefilled before their callers leave.
 """
 
 from cassiaford.gateway.policy._engine_placer import Placement
 
-# Instances learn of each other's work this late, so shorter queues cannot be
-# told from empty ones.
+# Reports of work reach other instances this late, so shorter queues cannot be
+# distinguished from empty ones.
 SHORT_QUEUE_S = 0.1
 # Under load a first token may come this much later than expected.
 ESTIMATE_ERROR_S = 0.6
--- a/src/cassiaford/gateway/policy/_prefix_locations.py
+++ b/src/cassiaford/gateway/policy/_prefix_locations.py
@@ -106,7 +106,7 @@
             self.reported_at[prefix, key] = now
 
     def pop_unreported(self) -> list[tuple[int, Hashable]]:
-        """Return the placements that peers do not know yet, and clear the list."""
+        """Return the placements not yet reported to peers, and clear the list."""
         unreported, self.unreported = self.unreported, []
         return unreported
 
