--- a/src/cassiaford/policy/_claim_segments.py
+++ b/src/cassiaford/policy/_claim_segments.py
@@ -1,7 +1,7 @@
 """Sealed segments: the older, ended claims of a shard.
 
-A shard's value holds the running claims and those that ended last. Once the
-ended ones exceed a size they are moved to an immutable segment, which the
+A shard's value contains the running claims and those that ended most recently.
+Once the ended ones exceed a size they are moved to an immutable segment, which the
 shard refers to by name. An instance keeps eight bytes of each sealed claim's
 key in memory and reads a segment again only if those match.
 """
--- a/src/cassiaford/policy/_claim_shard.py
+++ b/src/cassiaford/policy/_claim_shard.py
@@ -199,8 +199,8 @@
     def refuse(self, nonce: str, retry_after_s: float) -> ResolvedClaim:
         """Refuse one pending claim, considering what is known of its key."""
         record = self.pending[nonce].record
-        # Another instance releases its claim only if the answer is "unavailable",
-        # so it is if a lost write may have put the claim in the record's place.
+        # Another instance releases its claim only on the answer "unavailable", so
+        # it gets that one if a write of unknown result may have stored its claim.
         foreign = record.instance != self.instance
         uncertain = foreign and self._may_be_written(record)
         self.abandon(nonce)
@@ -234,7 +234,8 @@
         # certain only once the shard has a later version.
         writes_known = self._uncertain_version != self.version and not self._must_write
         if state == self._state() and writes_known:
-            # A change without a claim here may match one that another has written.
+            # Another instance may have written the claim of a queued change since
+            # the last read.
             return ReadShard()
         return WriteShard(state, self.version)
 
--- a/src/cassiaford/policy/_gossip.py
+++ b/src/cassiaford/policy/_gossip.py
@@ -5,7 +5,7 @@
 
 from cassiaford.policy._member import MemberUpdate
 
-# How often an update is sent, for each doubling of the fleet's size.
+# The number of times an update is sent, for each doubling of the fleet's size.
 SENDS_PER_DOUBLING = 2
 
 
@@ -16,10 +16,11 @@
 
 
 class GossipQueue:
-    """The member updates that have to be sent more often.
+    """The member updates that still have to be sent.
 
-    The number of times grows with the logarithm of the fleet's size, as in
-    SWIM (Das, Gupta and Motivala, 2002). Updates sent least go first.
+    Each is sent a number of times that grows with the logarithm of the fleet's
+    size, as in SWIM (Das, Gupta and Motivala, 2002). Those sent the fewest times
+    go first.
     """
 
     def __init__(self):
--- a/src/cassiaford/policy/_lookup.py
+++ b/src/cassiaford/policy/_lookup.py
@@ -25,7 +25,8 @@
     """Return the members that take requests, best first.
 
     Members in the caller's data centre precede all others, and members that
-    are suspected to be dead come last.
+    are suspected to be dead come last. If no member is ready, all that are not
+    leaving are returned.
     """
     remaining = [member for member in members if not member.leaving]
     serving = [member for member in remaining if member.ready] or remaining
--- a/src/cassiaford/policy/_placement.py
+++ b/src/cassiaford/policy/_placement.py
@@ -26,8 +26,8 @@
 class PlacementRequest:
     """A request that needs a backend server.
 
-    `chain` holds the block hashes of the prompt, outermost first. `excluded`
-    names servers that have already failed this request.
+    `chain` contains the hashes of the prompt's blocks, the leading block first.
+    `excluded` names servers that have already failed this request.
     """
 
     request_id: str
--- a/src/cassiaford/policy/_prefix_placement.py
+++ b/src/cassiaford/policy/_prefix_placement.py
@@ -38,11 +38,11 @@
 # Computing tokens also delays later requests, so it costs more than waiting.
 RECOMPUTE_WEIGHT = 4.0
 # The fraction of missing blocks credited to a home before any of its events.
-COLD_CREDIT = 0.8
+COLD_CREDIT_FRACTION = 0.8
 # Once events have arrived for this long, blocks without one are assumed absent.
 EVENT_WARMUP_S = 20.0
 # The fraction credited to a home whose cache is known to lack the blocks.
-HOME_CREDIT = 0.3
+HOME_CREDIT_FRACTION = 0.3
 # The random part of a score, so that instances do not all choose the same server.
 JITTER_S = 0.005
 # A server with at most this wait counts as idle and may recompute a prefix.
@@ -274,6 +274,6 @@
 
 def _home_credit(load: ServerLoad, now: float) -> float:
     if load.events_since is None:
-        return COLD_CREDIT
+        return COLD_CREDIT_FRACTION
     unobserved = 1.0 - (now - load.events_since) / EVENT_WARMUP_S
-    return max(HOME_CREDIT, COLD_CREDIT * unobserved)
+    return max(HOME_CREDIT_FRACTION, COLD_CREDIT_FRACTION * unobserved)
--- a/src/cassiaford/policy/_retries.py
+++ b/src/cassiaford/policy/_retries.py
@@ -13,7 +13,7 @@
 RETRY_FLOOR_PER_S = 1.0
 # The default number of slots of a backend server. With it, a server's crash loses
 # no request that may be repeated, even on an instance that has just started.
-CRASH_RESERVE = 32.0
+CRASH_RESERVE_RETRIES = 32.0
 
 
 _CRASH_FAILURES = frozenset(
@@ -80,7 +80,7 @@
         now: float,
         fraction: float = RETRY_FRACTION,
         floor_per_s: float = RETRY_FLOOR_PER_S,
-        reserve: float = CRASH_RESERVE,
+        reserve: float = CRASH_RESERVE_RETRIES,
     ):
         self.fraction = fraction
         self.floor_per_s = floor_per_s
--- a/src/cassiaford/policy/_server_load.py
+++ b/src/cassiaford/policy/_server_load.py
@@ -28,7 +28,7 @@
 MIN_TOKENS_FOR_SPEED = 2048
 # The estimated speed moves by this fraction towards each measured one, so that
 # it stays near their median and a single wrong estimate has little effect.
-SPEED_STEP = 0.03
+SPEED_STEP_FRACTION = 0.03
 # Speeds are measured on requests with at most this fraction of their tokens
 # waiting ahead of them.
 MAX_TOKENS_AHEAD_FRACTION = 0.1
@@ -90,7 +90,10 @@
         self.peer_prompts.append((now, tokens))
 
     def slot_wait(self, view: ServerView, now: float) -> tuple[float, bool]:
-        """Return the expected wait for a slot, and whether the server is full."""
+        """Return the expected delay, and whether the server is full.
+
+        The delay is the wait for a slot and a cost that grows with the occupancy.
+        """
         occupied = self._occupied(view.in_flight, now)
         missing_slots = max(0, occupied + RESERVED_SLOTS - view.slots)
         full = occupied >= MAX_OCCUPANCY * view.slots
@@ -136,7 +139,11 @@
         if sent.tokens_ahead > MAX_TOKENS_AHEAD_FRACTION * sent.tokens:
             return
         measured = (sent.tokens + sent.tokens_ahead) / elapsed
-        step = SPEED_STEP if measured > self.tokens_per_s else -SPEED_STEP
+        step = (
+            SPEED_STEP_FRACTION
+            if measured > self.tokens_per_s
+            else -SPEED_STEP_FRACTION
+        )
         speed = self.tokens_per_s * (1.0 + step)
         lowest = self.initial_tokens_per_s / MAX_SPEED_FACTOR
         highest = self.initial_tokens_per_s * MAX_SPEED_FACTOR
--- a/src/cassiaford/policy/_share.py
+++ b/src/cassiaford/policy/_share.py
@@ -206,7 +206,7 @@
     def request_loans(
         self, tokens: float, use_own: bool, numbers: Iterator[int], now: float
     ) -> tuple[SendShareMessage, ...]:
-        """Return requests for the missing tokens; none if owners have too few."""
+        """Return requests for the missing tokens; none if fresh levels are too low."""
         available = self.available_tokens(use_own)
         if self.tokens_elsewhere(now) + available < tokens and self._all_fresh(now):
             return ()
--- a/src/cassiaford/policy/_shares.py
+++ b/src/cassiaford/policy/_shares.py
@@ -100,7 +100,7 @@
     def request_loans(
         self, customer: str, tokens: float, now: float
     ) -> tuple[SendShareMessage, ...]:
-        """Return loan requests for the tokens that a charge is missing.
+        """Return loan requests for the tokens that a charge lacks.
 
         Returns none if all owners together are known to have too few tokens.
         """
@@ -262,7 +262,7 @@
         return is_holder and self.converged and not self.reports.missing(self.ledger)
 
     def check_pause(self, now: float) -> bool:
-        """Return whether the instance was paused and is not confirmed since."""
+        """Return whether a pause still suspends this instance's shares."""
         self._check_pause(now)
         return self.suspended
 
--- a/src/cassiaford/policy/_suspects.py
+++ b/src/cassiaford/policy/_suspects.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class SuspicionRequest:
-    """Requests all suspicions of a peer."""
+    """A request to a peer for all its suspicions."""
 
 
 SuspectMessage = CrashReport | ClearedFingerprint | SuspicionRequest
@@ -142,6 +142,7 @@
         return len(suspicion.crashes)
 
     def _add_crash(self, fingerprint, crash, now):
+        # This removes the suspicion if it has expired.
         self._crash_count(fingerprint, now)
         suspicion = self.suspicions.setdefault(fingerprint, Suspicion(set(), now))
         if crash not in suspicion.crashes:
