--- a/src/cassiaford/gateway/_clocks.py
+++ b/src/cassiaford/gateway/_clocks.py
@@ -2,7 +2,7 @@
 
 import time
 
-# Shorter differences between the two clocks are not taken for a suspension.
+# A smaller gain of the boot clock on the monotonic clock is not a suspension.
 MIN_SUSPENSION_S = 0.3
 
 
--- a/src/cassiaford/gateway/_configuration.py
+++ b/src/cassiaford/gateway/_configuration.py
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """The limits on a caller's requests, and on its time to send them or idle."""
+    """The limits on a caller's requests, and on its time to send one or to idle."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
--- a/src/cassiaford/gateway/_dialect.py
+++ b/src/cassiaford/gateway/_dialect.py
@@ -69,7 +69,7 @@
 
     @abstractmethod
     def encode(self, addresses: list[str], time_to_live_s: float) -> bytes:
-        """Return the response body that lists addresses, the best first."""
+        """Return the response body that lists addresses in the given order."""
 
 
 class ReadinessProbe(ABC):
--- a/src/cassiaford/gateway/_engine_control.py
+++ b/src/cassiaford/gateway/_engine_control.py
@@ -30,7 +30,7 @@
     """An engine's report on its weights and orders.
 
     `versions` are the versions of the loaded weights by model. `orders_accepted`
-    counts the orders since the engine's start.
+    counts the orders that the engine has accepted since its start.
     """
 
     versions: dict[str, int]
--- a/src/cassiaford/gateway/_exchange.py
+++ b/src/cassiaford/gateway/_exchange.py
@@ -102,7 +102,7 @@
             self._log_retry(choice)
 
     async def _next_choice(self):
-        """Return a server after more urgent requests, or None if none is in time."""
+        """Wait while others go first; return a server, or None if none is in time."""
         job = self.job
         while True:
             now = self.loop.time()
--- a/src/cassiaford/gateway/_front.py
+++ b/src/cassiaford/gateway/_front.py
@@ -28,8 +28,8 @@
 
 # Minimum Retry-After of refusals whose cause passes quickly.
 MIN_RETRY_AFTER_S = 0.3
-# A customer over its rate is told to retry when its tokens are available, or
-# later by up to this fraction of the wait, which spreads the retries.
+# The Retry-After of a customer over its rate is the time until its tokens are
+# available, longer by up to this fraction, which spreads the retries.
 MAX_RETRY_JITTER_FRACTION = 0.5
 
 
--- a/src/cassiaford/gateway/_gateway.py
+++ b/src/cassiaford/gateway/_gateway.py
@@ -58,10 +58,10 @@
 
 
 class Gateway:
-    """Serves callers until it is told to stop.
+    """Serves callers until SIGTERM.
 
     `rng` breaks ties and spreads delays; every instance should have a different
-    seed. `reload` returns the current settings when a signal asks for a reload.
+    seed. `reload` returns the current settings; it is called on SIGHUP.
     """
 
     def __init__(
--- a/src/cassiaford/gateway/_messages.py
+++ b/src/cassiaford/gateway/_messages.py
@@ -64,8 +64,8 @@
 class BackendServer:
     """An incarnation of a backend server, as registered.
 
-    `started_at` is the registered start, which tells incarnations of one
-    identifier apart; `versions` are the versions of the loaded weights by model.
+    `started_at` is the registered start, which distinguishes incarnations of one
+    identifier; `versions` are the versions of the loaded weights by model.
     """
 
     server_id: str
--- a/src/cassiaford/gateway/_mirror.py
+++ b/src/cassiaford/gateway/_mirror.py
@@ -38,11 +38,11 @@
 
     @abstractmethod
     def on_store_lost(self) -> None:
-        """Process the failure of a call to the store."""
+        """Process the first failure of a call after the store was reachable."""
 
     @abstractmethod
     def on_store_recovered(self) -> None:
-        """Process the first response of the store after an outage."""
+        """Process the end of a client's failure; called for each failed client."""
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
 
 
 class Mirror:
-    """Holds sections of the store, from the store or from a peer's mirror."""
+    """A copy of sections of the store, from the store or from a peer's mirror."""
 
     def __init__(self, sections: tuple[Section, ...], listener: MirrorListener):
         self.sections = sections
--- a/src/cassiaford/gateway/_orders.py
+++ b/src/cassiaford/gateway/_orders.py
@@ -1,6 +1,6 @@
 """Orders to load new weights, given by the one instance that holds a lease.
 
-The orderer's key lies in the store under the lease; the revision at which it
+The orderer's key is stored under the lease; the revision at which it
 was written is the fencing token. The holder stops before its lease can have
 expired, by a clock that also runs while the machine is suspended.
 """
--- a/src/cassiaford/gateway/_peers.py
+++ b/src/cassiaford/gateway/_peers.py
@@ -23,12 +23,12 @@
 from cassiaford.logs import Event
 
 # A prefill takes tens of milliseconds, so less frequent reports of work would
-# come after the fact.
+# arrive too late.
 REPORT_INTERVAL_S = 0.1
 # Placing this much work triggers a report immediately: peers would place short
 # prompts behind it, whose targets are a few tenths of a second.
 IMMEDIATE_REPORT_WORK_S = 0.05
-# One report of so many is whole, for peers that missed a report.
+# One in this many reports is whole, for peers that missed a report.
 WHOLE_EVERY_REPORTS = 10
 # Up to this many reports in a row are skipped if nothing has changed.
 MAX_SKIPPED_REPORTS = 3
--- a/src/cassiaford/gateway/_server_connection.py
+++ b/src/cassiaford/gateway/_server_connection.py
@@ -24,7 +24,7 @@
 # An idle connection is not used in the last second before its server's timeout.
 IDLE_MARGIN_S = 1.0
 # A server may close a connection right after a response without announcing it. The
-# FIN arrives within a round trip in the region, so the connection rests this long.
+# FIN arrives within a round trip in the region, so reuse waits for this long.
 REUSE_DELAY_S = 0.01
 # Idle timeout for servers that state none.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
--- a/src/cassiaford/gateway/_view.py
+++ b/src/cassiaford/gateway/_view.py
@@ -16,12 +16,12 @@
 
 
 def digest(text: str) -> int:
-    """Return the number that stands for a name between instances."""
+    """Return the number that represents a name in reports to peers."""
     return xxhash.xxh32_intdigest(text.encode())
 
 
 def server_key(server: BackendServer) -> int:
-    """Return the number that stands for an incarnation between instances."""
+    """Return the number that represents an incarnation in reports to peers."""
     return digest("|".join(map(str, server.incarnation)))
 
 
