--- a/src/cassiaford/platform/_engines.py
+++ b/src/cassiaford/platform/_engines.py
@@ -17,7 +17,7 @@
 from cassiaford.platform._json import boolean, integer, parse_object
 from cassiaford.platform._records import versions_of
 
-# Engines send reports within milliseconds over any link, since they take no slot.
+# Engines send reports within milliseconds over any link: a report takes no slot.
 TIMEOUT_S = 0.6
 _RESPONSES_BY_STATUS = {
     202: OrderResponse.ACCEPTED,
--- a/src/cassiaford/platform/_store.py
+++ b/src/cassiaford/platform/_store.py
@@ -87,7 +87,7 @@
         return await self._commit((Condition(key, revision),), [], [key])
 
     async def grant_lease(self, time_to_live_s: float) -> int:
-        """Grant and return a new lease."""
+        """Create a lease and return its identifier."""
         body = {"TtlMs": round(time_to_live_s * 1000)}
         document = await self._post("/kv-lease", body)
         return _decode(integer, document, "Lease")
