--- a/src/cassiaford/config/_describe.py
+++ b/src/cassiaford/config/_describe.py
@@ -17,7 +17,7 @@
 )
 from cassiaford.config._document import EMPTY_CONFIGURATION, Configuration
 
-# Names, which the line contains anyway, and what is derived from secrets.
+# Names, which the line already contains, and values derived from secrets.
 _HIDDEN_FIELDS = {"name", "prefix", "salt", "digest", "key_id"}
 
 
--- a/src/cassiaford/config/_document.py
+++ b/src/cassiaford/config/_document.py
@@ -17,7 +17,7 @@
 
 
 class ServerKind(enum.Enum):
-    """The kind of a backend server."""
+    """Whether a backend server is a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -79,7 +79,7 @@
     """A backend server: a model engine or a plain service.
 
     `models` names the models of an engine; `group` is the name by which routes
-    refer to a plain service. `checks_fencing` says whether the server refuses
+    refer to a plain service. `checks_fencing` says whether the server rejects
     orders with an old fencing number. `slots` is the number of requests that
     it runs concurrently.
     """
