--- a/src/cassiaford/engines/_poller.py
+++ b/src/cassiaford/engines/_poller.py
@@ -23,15 +23,16 @@
 UNREACHABLE_THREADS = 4
 # With many engines, each is polled less often to stay within this rate.
 MAX_POLLS_PER_S = 10.0
-# Spreads the polls of engines that joined at the same moment.
-JITTER = 0.2
+# Each delay varies by this fraction, which spreads polls of engines that joined at
+# the same moment.
+JITTER_FRACTION = 0.2
 # Number of checks for due engines in each polling interval.
 TICKS_PER_INTERVAL = 4
 MAX_TICK_S = 0.5
 # Maximum delay between polls of an engine that does not respond.
 MAX_BACKOFF_S = 5.0
 # Sequence number that requests all of an engine's cache events.
-BEFORE_FIRST = 0
+BEFORE_FIRST_SEQUENCE = 0
 
 
 class EngineObserver(ABC):
@@ -147,7 +148,7 @@
         self.address: str | None = None
         self.desired_address: str | None = None
         self.incarnation: str | None = None
-        self.after = BEFORE_FIRST
+        self.after = BEFORE_FIRST_SEQUENCE
         self.reachable = True
         self.in_flight = False
         self.delay_s = 0.0
@@ -174,7 +175,7 @@
         except Exception as error:
             # An exception in an observer must not end the polling.
             self._record(Event.BACKGROUND_TASK_FAILED, error=repr(error))
-        jitter = random.uniform(1.0 - JITTER, 1.0 + JITTER)
+        jitter = random.uniform(1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION)
         self.due_at = time.monotonic() + self.delay_s * jitter
         self.in_flight = False
 
@@ -213,7 +214,7 @@
 
     def _reset(self, incarnation):
         self.incarnation = incarnation
-        self.after = BEFORE_FIRST
+        self.after = BEFORE_FIRST_SEQUENCE
 
     def _record_failure(self, error):
         if self.reachable:
--- a/src/cassiaford/engines/_protocol.py
+++ b/src/cassiaford/engines/_protocol.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """The load of an engine when it reported, which may be out of date.
+    """The load of an engine at the time of its report.
 
     `queued_tokens` counts the prompt tokens that are not prefilled yet. `models`
     maps each loaded model to its weights version.
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class OrderResponse:
-    """The response to an order; `reason` says why it was refused."""
+    """The response to an order; `reason` says why it was rejected."""
 
     accepted: bool
     reason: str = ""
