--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -159,7 +159,7 @@
         self.assertIn(KEYS[0], claims.next_step(0.0).state.records)
 
     def test_a_release_is_followed_by_a_write(self):
-        # The write makes a write fail that another instance may have in progress.
+        # Writing the shard makes any write that another instance has in progress fail.
         claims = self.claims()
         claims.release(self.record(instance="entry-1"))
         self.assertIsInstance(claims.next_step(0.0), WriteShard)
