--- a/standins/_demo_sheet.py
+++ b/standins/_demo_sheet.py
@@ -9,20 +9,20 @@
 CUSTOMER = "academy"
 FORMER_CUSTOMER = "former-shop"
 MODEL = "binder-7b"
-# Tokens per second and tokens; well above what the demo's callers use.
-RATE = 400_000
-BURST = 2_000_000
-MAX_OUTPUT = 1024
+# The rate and the burst are well above what the demo's callers use.
+RATE_TOKENS_PER_S = 400_000
+BURST_TOKENS = 2_000_000
+MAX_OUTPUT_TOKENS = 1024
 
 
 def academy_sheet(cluster: Cluster) -> dict[str, object]:
     """Return the day sheet for the backend servers of a cluster."""
     group = cluster.layout.service_group
-    customer = {"rate": RATE, "burst": BURST, "models": [MODEL]}
+    customer = {"rate": RATE_TOKENS_PER_S, "burst": BURST_TOKENS, "models": [MODEL]}
     return {
         "customers": {CUSTOMER: customer, FORMER_CUSTOMER: customer},
         "models": {
-            name: {"version": version, "max_output": MAX_OUTPUT}
+            name: {"version": version, "max_output": MAX_OUTPUT_TOKENS}
             for name, version in cluster.layout.models
         },
         "routes": {
--- a/standins/_engine_orders.py
+++ b/standins/_engine_orders.py
@@ -85,4 +85,6 @@
         parser.feed_data(data)
     writer.close()
     if parser.get_status_code() != 200:
-        raise ConnectionError(f"{address} answered {parser.get_status_code()}")
+        raise ConnectionError(
+            f"{address} responded with status {parser.get_status_code()}"
+        )
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -52,7 +52,7 @@
         return address
 
     def launch_stand_in(self, module: str, *options: str, name: str = "") -> str:
-        """Start ``python -m standins.MODULE`` and return its address at once."""
+        """Start ``python -m standins.MODULE``; return its address without waiting."""
         name = name or module
         address = self.addresses.setdefault(name, free_address())
         command = [sys.executable, "-m", f"standins.{module}", "--address", address]
