--- a/bench/_stream_load.py
+++ b/bench/_stream_load.py
@@ -18,13 +18,13 @@
 )
 REQUEST_NUMBERS = itertools.count()
 SENT_NS = re.compile(rb'"sent_ns": (\d+)')
-MAX_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 
 
 def histogram():
     """Return an empty histogram of microseconds."""
-    return HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -30,12 +30,12 @@
 WORKERS = 4
 GREEDY_CUSTOMERS = ("customer-3", "customer-1")
 FLOOD_FACTOR = 5
-FIFO_CAPACITY = 320
+FIFO_CAPACITY_REQUESTS = 320
 FIFO_WAIT_S = 1.0
 
 QUEUES: dict[str, Callable[[], RequestQueue]] = {
     "fair": create_fair_queue,
-    "arrival-order": lambda: FifoQueue(FIFO_CAPACITY, FIFO_WAIT_S),
+    "arrival-order": lambda: FifoQueue(FIFO_CAPACITY_REQUESTS, FIFO_WAIT_S),
 }
 
 
--- a/bench/fleet_shares.py
+++ b/bench/fleet_shares.py
@@ -299,12 +299,12 @@
                 self.meter.refuse(oracle_admits)
             elif self.charge(node, tokens):
                 continue
-            elif self.awaits_loan(node, tokens) and self.now < deadline:
+            elif self.request_loan(node, tokens) and self.now < deadline:
                 node.waiting.append((tokens, oracle_admits, deadline))
             else:
                 self.meter.refuse(oracle_admits)
 
-    def awaits_loan(self, node, tokens):
+    def request_loan(self, node, tokens):
         """Request a loan unless one is pending; return whether one may still arrive."""
         if not self.lending:
             return False
--- a/bench/model/_fleet.py
+++ b/bench/model/_fleet.py
@@ -178,19 +178,19 @@
         now = self.schedule.now
         for ticket in instance.queue.expire(now):
             self.records[ticket.request_id].refused = True
-        chosen = {}
+        placements = {}
 
         def may_dispatch(ticket):
             record = self.records[ticket.request_id]
             views = [self._server_view(instance, name) for name in self.engines]
             request = record.request
             placement = instance.policy.place(request, views, now, instance.rng)
-            chosen[ticket.request_id] = placement
+            placements[ticket.request_id] = placement
             return placement is not None
 
         while (ticket := instance.queue.take(now, may_dispatch)) is not None:
             record = self.records[ticket.request_id]
-            self._send(instance, record, chosen[ticket.request_id])
+            self._send(instance, record, placements[ticket.request_id])
 
     def _server_view(self, instance, name):
         return ServerView(
@@ -286,8 +286,8 @@
         instance.last_sequences[engine.name] = batch.next_sequence - 1
         if self.rng.random() >= self.parameters.event_loss:
             return batch
-        kept = batch.events[len(batch.events) // 2 :]
-        return CacheEvents(batch.incarnation, kept, batch.next_sequence, True)
+        delivered = batch.events[len(batch.events) // 2 :]
+        return CacheEvents(batch.incarnation, delivered, batch.next_sequence, True)
 
     def _apply_load(self, instance, name, load):
         if self.engines[name].up:
